--- a/crates/chicoryrail-router/src/lib.rs
+++ b/crates/chicoryrail-router/src/lib.rs
@@ -1,9 +1,9 @@
-//! The one process of an entry host on a platform with a store.
+//! The router process of an entry host.
 //!
-//! It takes callers' requests, finds the service by host and path, picks the server and sends the
-//! request there itself. What it believes of the configuration, the servers and the owners of keys comes
-//! from a watch of the store and from the other hosts. One host at a time leads: it keeps the keys of
-//! keyed services and tells the others who holds them.
+//! The router receives callers' HTTP requests, finds the service by host and path, selects a server and forwards
+//! the request to it. It learns the configuration, the servers and the owners of keys from watches of the store and
+//! from the other hosts. One host at a time is the leader: it assigns the keys of keyed services to servers and sends
+//! the assignment to the other hosts.
 //!
 //! # Example
 //!
@@ -12,8 +12,9 @@
 //! assert_eq!(options.metrics_port, Some(9464));
 //! ```
 //!
-//! Go on with [`run`] for the process. Modules below `route/` serve a request, those below `state/` hold
-//! what is believed, those below `control/` talk to the store, the other hosts and the servers' control.
+//! [`run`] is the entry point of the process. The modules of `route/` serve requests, those of `state/` hold the shared
+//! state, those of `talk/` define the messages between hosts, and those of `control/` communicate with the store, the
+//! other hosts and the servers' control endpoints.
 
 mod control;
 mod log_line;
--- a/crates/chicoryrail-router/src/log_line.rs
+++ b/crates/chicoryrail-router/src/log_line.rs
@@ -1,7 +1,7 @@
-//! The one format of log lines.
+//! Format of log lines.
 //!
-//! `log=KIND t=SECONDS level=LEVEL host=NAME key=value ...`; values with spaces are quoted. The keys stand in
-//! `docs/OPERATIONS.md`.
+//! `log=KIND t=SECONDS level=LEVEL host=NAME key=value ...`; values with spaces are quoted. `docs/OPERATIONS.md`
+//! describes the keys.
 
 use std::fmt::Write as _;
 use std::io;
@@ -12,7 +12,8 @@
 use chicoryrail_runtime::LogSink;
 use log::kv;
 
-/// Sends all log lines of the process to a sink, at the level of `CHICORYRAIL_LOG` (default `info`).
+/// Installs the logger, which writes all log lines of the process to `sink`. The environment variable `CHICORYRAIL_LOG`
+/// sets the level, by default `info`.
 pub(crate) fn init(host: &HostName, sink: &LogSink) {
     let env = env_logger::Env::new().filter_or("CHICORYRAIL_LOG", "info");
     let (host, sink) = (host.clone(), sink.clone());
@@ -25,10 +26,11 @@
         .target(env_logger::Target::Pipe(Box::new(io::sink())))
         .try_init();
     if started.is_err() {
-        log::warn!("another logger was set before");
+        log::warn!("another logger is already installed");
     }
 }
 
+/// Formats a record as a log line.
 fn line(host: &HostName, record: &log::Record<'_>) -> String {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     let time = time.map_or(0.0, |d| d.as_secs_f64());
@@ -37,20 +39,21 @@
         record.args(),
         record.level().as_str().to_ascii_lowercase()
     );
-    let mut pairs = Pairs(&mut text);
-    // Writing to a string does not fail.
+    let mut pairs = PairWriter(&mut text);
+    // Writing to a `String` is infallible.
     let _ = record.key_values().visit(&mut pairs);
     text.push('\n');
     text
 }
 
-struct Pairs<'a>(&'a mut String);
+/// Appends the key-value pairs of a record to a line.
+struct PairWriter<'a>(&'a mut String);
 
-impl<'kvs> kv::VisitSource<'kvs> for Pairs<'_> {
+impl<'kvs> kv::VisitSource<'kvs> for PairWriter<'_> {
     fn visit_pair(&mut self, key: kv::Key<'kvs>, value: kv::Value<'kvs>) -> Result<(), kv::Error> {
         let value = value.to_string();
-        let plain = !value.is_empty() && !value.contains([' ', '"', '\n']);
-        let _ = if plain {
+        let is_plain = !value.is_empty() && !value.contains([' ', '"', '\n']);
+        let _ = if is_plain {
             write!(self.0, " {key}={value}")
         } else {
             write!(self.0, " {key}={value:?}")
--- a/crates/chicoryrail-router/src/main.rs
+++ b/crates/chicoryrail-router/src/main.rs
@@ -1,4 +1,4 @@
-//! The one process of an entry host.
+//! The router process of an entry host.
 
 use std::process::ExitCode;
 
--- a/crates/chicoryrail-router/src/options.rs
+++ b/crates/chicoryrail-router/src/options.rs
@@ -1,4 +1,4 @@
-//! What can be set on the command line or in the environment.
+//! Settings from the command line or the environment.
 
 use bpaf::OptionParser;
 use bpaf::Parser;
@@ -6,52 +6,52 @@
 use bpaf::long;
 use chicoryrail_runtime::setting;
 
-/// Log lines a second that pass by default: all failures of a small host and a share of its other requests, and a
-/// storm costs no more than this.
-const LINES: u32 = 150;
+/// Default maximum of log lines per second: enough for all failures of a small host and a share of its other
+/// requests. It bounds the cost of logging when many requests fail at once.
+const LOG_LINES_DEFAULT: u32 = 150;
 
-/// One in this many ordinary decisions is logged by default.
-const ORDINARY: u32 = 20;
+/// Default sampling of requests without anomalies: one in this many is logged.
+const LOG_ORDINARY_DEFAULT: u32 = 20;
 
-/// Settings of the process beside those that the platform's boot file gives.
+/// Settings of the process that are not in the platform's boot file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Port on which metrics are shown, on the host's own address.
+    /// Port that serves metrics, on the host's own address; `None` for no metrics.
     pub metrics_port: Option<u16>,
-    /// Most log lines a second; what is left out is counted in a line of its own.
+    /// Maximum number of log lines per second; a separate line counts those left out.
     pub log_lines: u32,
-    /// One in this many requests that went as usual is logged; 0 for none.
+    /// One in this many requests without anomalies is logged; 0 for none.
     pub log_ordinary: u32,
-    /// Whether to read the settings, print them and end.
+    /// Whether to read the settings, print them and exit.
     pub check: bool,
 }
 
-/// Parses the command line.
+/// Returns the parser of the command line and the environment.
 #[must_use]
 pub fn options() -> OptionParser<Options> {
     let metrics_port = setting(
         "metrics-port",
         "CHICORYRAIL_METRICS_PORT",
         "PORT",
-        "Port on which metrics are shown, on the host's own address",
+        "Port that serves metrics, on the host's own address",
     )
     .optional();
     let log_lines = setting(
         "log-lines",
         "CHICORYRAIL_LOG_LINES",
         "N",
-        "Most log lines a second (150)",
+        "Maximum number of log lines per second (150)",
     )
-    .fallback(LINES);
+    .fallback(LOG_LINES_DEFAULT);
     let log_ordinary = setting(
         "log-ordinary",
         "CHICORYRAIL_LOG_ORDINARY",
         "N",
-        "Log one in N requests that went as usual, 0 for none (20)",
+        "Log one in N requests without anomalies, 0 for none (20)",
     )
-    .fallback(ORDINARY);
+    .fallback(LOG_ORDINARY_DEFAULT);
     let check = long("check")
-        .help("Read the boot file, print what was understood and end")
+        .help("Read the boot file, print the parsed settings and exit")
         .switch();
     construct!(Options {
         metrics_port,
--- a/crates/chicoryrail-router/src/run.rs
+++ b/crates/chicoryrail-router/src/run.rs
@@ -1,4 +1,4 @@
-//! Start, upkeep and stop of the process.
+//! Startup, periodic maintenance and shutdown of the process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -39,47 +39,47 @@
 use crate::options::options;
 use crate::route;
 use crate::state::Router;
-use crate::talk::Talk;
+use crate::talk::PeerSocket;
 
-/// Time between two rounds of upkeep.
-const UPKEEP_INTERVAL: Millis = Millis(100);
+/// Interval of the periodic maintenance.
+const MAINTENANCE_INTERVAL: Millis = Millis(100);
 
-/// A round that comes this much later than planned was held up by a pause of the process.
-const FREEZE_NOTICED: Millis = Millis(300);
+/// Delay of a maintenance round from which a pause of the process is logged.
+const PAUSE_LOGGED_MIN: Millis = Millis(300);
 
-/// Time from the stop signal until the listener closes: the balancer asks once a second and takes a host
-/// out after two misses, so after it no new caller is sent here.
-const BALANCER_NOTICE_TIME: Millis = Millis(2_600);
+/// Time from the stop signal until the listener closes. The load balancer checks readiness once per second and removes
+/// a host after two failed checks, so it sends no new callers here after this time.
+const BALANCER_REMOVAL_TIME: Millis = Millis(2_600);
 
-/// Time before the kill at which the process ends by itself.
-const KILL_MARGIN: Millis = Millis(400);
+/// The process exits this long before the end of the grace period, when the platform kills it.
+const EXIT_MARGIN: Millis = Millis(400);
 
-/// Why the process could not run.
+/// Error that prevents the process from running.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// A listener can't be opened.
+    /// A TCP listener can't be opened.
     #[snafu(display("{source}"))]
     Listen {
-        /// The setting and the system's error.
+        /// Name of the setting and the operating system's error.
         source: SettingError,
     },
-    /// The socket between hosts can't be opened.
+    /// The UDP socket for messages between hosts can't be opened.
     #[snafu(display("{addr}: {source}"))]
     Socket {
-        /// Its address.
+        /// Address of the socket.
         addr: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The boot file has no address for callers, or none for the balancer.
+    /// The boot file lacks the address for callers or for the load balancer's readiness checks.
     #[snafu(display("the boot file has no address for {what}"))]
     NoAddress {
-        /// What is missing.
+        /// Purpose of the missing address: `callers` or `readiness`.
         what: &'static str,
     },
 }
 
-/// Reads the settings, serves until a stop signal and returns the exit code.
+/// Reads the settings, runs the router until a stop signal and returns the exit code.
 #[must_use]
 pub fn run_from_args() -> ExitCode {
     let options = match from_args(&options()) {
@@ -107,11 +107,12 @@
     }
 }
 
-/// Serves until the process gets SIGTERM or SIGINT, and then stops without cutting a request.
+/// Runs the router until SIGTERM or SIGINT, then shuts down: requests in progress have the grace period of the settings
+/// to finish.
 ///
 /// # Errors
 ///
-/// Returns a [`RunError`] where a listener or socket can't be opened.
+/// Returns a [`RunError`] if a listener or socket can't be opened, or the boot file lacks an address.
 pub async fn run(boot: Boot, options: Options, sink: LogSink) -> Result<(), RunError> {
     let callers = boot
         .callers
@@ -125,7 +126,7 @@
         .map(|port| SocketAddr::new(boot.ip, port));
     log::info!(dc:% = boot.dc, callers:% = callers,
         store:% = boot.store.addr, pid = std::process::id(); "start");
-    let talk = Talk::bind(talk_addr).context(SocketSnafu { addr: talk_addr })?;
+    let talk = PeerSocket::bind(talk_addr).context(SocketSnafu { addr: talk_addr })?;
     let router = Router::new(boot, options, &talk);
     let stop = router.process.stop.clone();
     if let Err(e) = stop_on_signal(stop.clone()) {
@@ -137,11 +138,11 @@
         }
         Err(e) => log::error!(error:% = e; "signals_not_caught"),
     }
-    monoio::spawn(keep_up(Rc::clone(&router), sink));
-    let ends = CancellationToken::new();
-    open_observe(&router, "readiness", readiness, &ends)?;
+    monoio::spawn(run_maintenance(Rc::clone(&router), sink));
+    let internal_stop = CancellationToken::new();
+    serve_observability(&router, "readiness", readiness, &internal_stop)?;
     if let Some(addr) = metrics {
-        open_observe(&router, "metrics-port", addr, &ends)?;
+        serve_observability(&router, "metrics-port", addr, &internal_stop)?;
     }
     let leadership = Rc::new(LeaderTerm::default());
     let pools = Rc::new(QuotaPools::default());
@@ -149,7 +150,7 @@
     let listening = Rc::clone(&gossip);
     monoio::spawn(talk.listen(move |packet, from| listening.handle_packet(packet, from)));
     monoio::spawn(scheduling::tend(Rc::clone(&router)));
-    open_relay(&router, talk_addr, &ends)?;
+    serve_relay(&router, talk_addr, &internal_stop)?;
     follow_all(&router);
     monoio::spawn(choose_source(Rc::clone(&router)));
     monoio::spawn(follow_relay(Rc::clone(&router)));
@@ -162,24 +163,24 @@
     let elected = monoio::spawn(elect(Rc::clone(&router), leadership));
     let listener = bind("callers", callers).context(ListenSnafu)?;
     let callers_stop = CancellationToken::new();
-    let (serving, asked) = (Rc::clone(&router), Rc::clone(&router));
+    let (serving, early_router) = (Rc::clone(&router), Rc::clone(&router));
     let served = monoio::spawn(serve_http_shared(
         listener,
         Rc::clone(&router.limits),
         callers_stop.clone(),
         move |request, _| route::serve(Rc::clone(&serving), request),
-        move |head| route::may_begin_early(&asked, head),
+        move |head| route::may_begin_early(&early_router, head),
     ));
     stop.cancelled().await;
-    wind_down(&router, &callers_stop).await;
+    shut_down(&router, &callers_stop).await;
     let _ = monoio::time::timeout(Millis(200).duration(), elected).await;
     drop(served);
-    ends.cancel();
+    internal_stop.cancel();
     log::info!(serving = router.serving.get(); "stop");
     Ok(())
 }
 
-/// Reads the settings file again whenever the operator says so.
+/// Reloads the boot file at each reload signal.
 async fn reload(router: Rc<Router>, mut signals: ReloadSignals) {
     while signals.next().await {
         match Boot::read() {
@@ -187,33 +188,34 @@
                 let changed = router.reload(boot);
                 log::info!(changed = changed; "reload");
             }
-            // What was read before holds.
+            // The previous settings stay in force.
             Err(e) => log::error!(error:% = e; "reload_failed"),
         }
     }
 }
 
-/// Lets the balancer turn callers away, then ends their connections and waits for their requests.
-async fn wind_down(router: &Router, callers: &CancellationToken) {
+/// Waits until the load balancer sends no more callers, then closes callers' connections and waits for the requests in
+/// progress.
+async fn shut_down(router: &Router, callers: &CancellationToken) {
     let clock = router.process.clock;
     let grace = router.boot().bounds.grace;
-    let end = router.now() + grace - KILL_MARGIN;
+    let end = router.now() + grace - EXIT_MARGIN;
     log::info!(serving = router.serving.get(), grace_ms = grace.0; "stopping");
     clock
-        .sleep(BALANCER_NOTICE_TIME.min(Millis(grace.0 / 2)))
+        .sleep(BALANCER_REMOVAL_TIME.min(Millis(grace.0 / 2)))
         .await;
     callers.cancel();
-    // A connection that the system has taken in may still carry its first request.
+    // The first request of a connection that the kernel has already accepted may still arrive.
     clock.sleep(Millis(300)).await;
     while router.serving.get() > 0 && router.now() < end {
         clock.sleep(Millis(10)).await;
     }
-    // The last answers leave the process.
+    // Leaves time to send the last responses.
     clock.sleep(Millis(50)).await;
 }
 
-/// Serves readiness and metrics.
-fn open_observe(
+/// Starts an HTTP listener for readiness and metrics.
+fn serve_observability(
     router: &Rc<Router>,
     flag: &'static str,
     addr: SocketAddr,
@@ -235,8 +237,8 @@
     Ok(())
 }
 
-/// Serves the hosts that follow this one.
-fn open_relay(
+/// Starts the HTTP listener for hosts that use this one as relay.
+fn serve_relay(
     router: &Rc<Router>,
     addr: SocketAddr,
     stop: &CancellationToken,
@@ -249,20 +251,21 @@
     Ok(())
 }
 
-/// Looks after readiness, the log, pauses, and entries whose time to come back is over.
-async fn keep_up(router: Rc<Router>, sink: LogSink) {
+/// Periodic maintenance: updates readiness, flushes the log, logs pauses of the process, and removes servers whose
+/// missing entries have expired.
+async fn run_maintenance(router: Rc<Router>, sink: LogSink) {
     let mut last = router.now();
     loop {
-        router.process.clock.sleep(UPKEEP_INTERVAL).await;
+        router.process.clock.sleep(MAINTENANCE_INTERVAL).await;
         let now = router.now();
-        let late = now.since(last + UPKEEP_INTERVAL);
-        if late > FREEZE_NOTICED {
+        let late = now.since(last + MAINTENANCE_INTERVAL);
+        if late > PAUSE_LOGGED_MIN {
             log::warn!(late_ms = late.0; "paused");
         }
         last = now;
         router.believe(&[]);
-        note_config_age(&router);
-        let ready = is_able(&router);
+        update_config_age(&router);
+        let ready = can_serve(&router);
         if ready != router.process.is_ready() && !router.process.stop.is_cancelled() {
             log::info!(ready = ready; "readiness");
             router.process.set_ready(ready);
@@ -271,7 +274,7 @@
     }
 }
 
-fn note_config_age(router: &Router) {
+fn update_config_age(router: &Router) {
     let age = router.organisations.freshness().age(router.now());
     router
         .counters
@@ -279,15 +282,17 @@
         .set(age.map_or(-1, |a| a.0 as i64));
 }
 
-/// Tells whether callers are served here: a configuration is known, and a server of some service.
-fn is_able(router: &Router) -> bool {
+/// Returns whether this host can serve callers: it has a configuration, and some service has a server that may receive
+/// requests. It can't if it may have missed revocations of API keys and is isolated from the other hosts.
+fn can_serve(router: &Router) -> bool {
     let now = router.now();
     let known = router.site().is_some();
-    // Where all hosts are out of touch with the store, callers gain nothing by going to another one.
+    // If all hosts have lost the store, another host would refuse requests with API keys too: the host stays ready.
     let needs_keys = router.site().is_some_and(|s| s.organisations().is_some());
-    let turns_away = needs_keys && !router.knows_revocations(now) && !router.hears_hosts(now);
+    let refuses_callers =
+        needs_keys && !router.knows_revocations(now) && !router.has_peer_contact(now);
     known
-        && !turns_away
+        && !refuses_callers
         && router
             .services()
             .iter()
--- a/crates/chicoryrail-router/src/state/asks.rs
+++ b/crates/chicoryrail-router/src/state/asks.rs
@@ -1,4 +1,4 @@
-//! Requests that have asked the scheduler and wait for its reply.
+//! Slot queries of this host that await the scheduler's decision.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -9,54 +9,52 @@
 
 use crate::talk::SlotReply;
 
-/// Requests that have asked the scheduler and wait for its reply.
+/// Slot queries of this host that await the scheduler's decision, by ticket.
 #[derive(Debug, Default)]
 pub(crate) struct Asks {
-    waiting: RefCell<HashMap<u64, Rc<Waiting>>>,
+    pending: RefCell<HashMap<u64, Rc<PendingQuery>>>,
     next: Cell<u64>,
 }
 
-/// One request's reply from the scheduler.
+/// One pending slot query: the scheduler's last decision, and a signal that fires with each new one.
 #[derive(Debug, Default)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingQuery {
     reply: RefCell<Option<SlotReply>>,
     pub(crate) changed: Signal,
 }
 
-impl Waiting {
-    /// Takes the last reply.
+impl PendingQuery {
+    /// Removes and returns the last decision.
     pub(crate) fn take(&self) -> Option<SlotReply> {
         self.reply.borrow_mut().take()
     }
 }
 
 impl Asks {
-    /// Opens a place for the scheduler's reply under a ticket that no other request of any host has; `instance`
-    /// is the random number of this run.
-    pub(crate) fn open(&self, instance: u64) -> (u64, Rc<Waiting>) {
+    /// Registers a pending query and returns it with its ticket, which is unique among the requests of all hosts:
+    /// `instance` is the random id of this process.
+    pub(crate) fn open(&self, instance: u64) -> (u64, Rc<PendingQuery>) {
         let next = self.next.get() + 1;
         self.next.set(next);
         let ticket = (instance << 24) ^ next;
-        let waiting = Rc::new(Waiting::default());
-        self.waiting
-            .borrow_mut()
-            .insert(ticket, Rc::clone(&waiting));
-        (ticket, waiting)
+        let query = Rc::new(PendingQuery::default());
+        self.pending.borrow_mut().insert(ticket, Rc::clone(&query));
+        (ticket, query)
     }
 
-    /// Closes a place.
+    /// Removes a pending query; later decisions on its ticket are dropped.
     pub(crate) fn close(&self, ticket: u64) {
-        self.waiting.borrow_mut().remove(&ticket);
+        self.pending.borrow_mut().remove(&ticket);
     }
 
-    /// Takes in a reply of the scheduler; tells whether somebody waits for it.
+    /// Delivers a decision of the scheduler. Returns whether a query with this ticket is pending.
     pub(crate) fn replied(&self, ticket: u64, reply: SlotReply) -> bool {
-        let waiting = self.waiting.borrow().get(&ticket).cloned();
-        let Some(waiting) = waiting else {
+        let query = self.pending.borrow().get(&ticket).cloned();
+        let Some(query) = query else {
             return false;
         };
-        *waiting.reply.borrow_mut() = Some(reply);
-        waiting.changed.notify();
+        *query.reply.borrow_mut() = Some(reply);
+        query.changed.notify();
         true
     }
 }
--- a/crates/chicoryrail-router/src/state/believe.rs
+++ b/crates/chicoryrail-router/src/state/believe.rs
@@ -1,4 +1,4 @@
-//! Brings servers and keys in line with what the store says.
+//! Applies changes of the store view to services, servers and key records.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -16,33 +16,34 @@
 use chicoryrail_runtime::ServerPool;
 use http::HeaderValue;
 
-use crate::state::Belief;
-use crate::state::Intake;
+use crate::state::Admission;
 use crate::state::Router;
 use crate::state::Service;
 use crate::state::Target;
 use crate::state::View;
+use crate::state::ViewChange;
 use crate::state::drain_end;
-use crate::state::view::Registered;
+use crate::state::view::ServerEntry;
 
 impl Router {
-    /// Brings the servers and keys in line with what the store says, and logs what changed.
-    pub(crate) fn believe(&self, told: &[Belief]) {
-        for belief in told {
-            self.log(belief);
-            if let Belief::Own(key) = belief {
-                self.read_own(key);
+    /// Logs the given changes of the store view, drops the servers whose entries have expired, and updates services,
+    /// servers and key records.
+    pub(crate) fn believe(&self, changes: &[ViewChange]) {
+        for change in changes {
+            self.log(change);
+            if let ViewChange::Own(key) = change {
+                self.apply_own(key);
             }
         }
         let gone = self.view.borrow_mut().expire(self.now());
-        if !told.is_empty() || !gone.is_empty() {
+        if !changes.is_empty() || !gone.is_empty() {
             self.sync();
         }
     }
 
-    fn read_own(&self, key: &str) {
+    fn apply_own(&self, key: &str) {
         if key.starts_with(HOSTS) {
-            self.read_hosts();
+            self.update_hosts();
         }
         let Some(service) = key.strip_prefix(KEYS) else {
             return;
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Brings the list of other hosts in line with the store.
-    fn read_hosts(&self) {
+    /// Updates the list of core hosts, without this one, from the host entries of the store.
+    fn update_hosts(&self) {
         let own = self.boot().host.clone();
         let view = self.view.borrow();
         let hosts = view.own_below(HOSTS).filter_map(|(key, item)| {
@@ -73,7 +74,7 @@
         self.peers.borrow_mut().set(self.now(), hosts);
     }
 
-    /// Takes in a key record from the store or the leader.
+    /// Applies a key record from the store or the leader.
     pub(crate) fn key_record(&self, service: &Service, record: KeyRecord) {
         let (fence, spans) = (record.fence, record.spans.len());
         if service.keys.borrow_mut().record(self.now(), record) {
@@ -83,6 +84,8 @@
         }
     }
 
+    /// Updates settings and targets from the store view: the configuration's limits and organisations, and the
+    /// servers of each service.
     fn sync(&self) {
         let view = self.view.borrow();
         if let Some(site) = view.site() {
@@ -109,20 +112,20 @@
             targets.retain(|life, target| {
                 let keep = lives.contains(life);
                 if !keep {
-                    target.intake.set(Intake::Closed);
+                    target.admission.set(Admission::Closed);
                     target.pool.clear();
                     service.loads.borrow_mut().forget(target.id);
                 }
                 keep
             });
             drop(targets);
-            service.divide();
+            service.update_divided();
             service.changed.notify();
             self.news.notify();
         }
     }
 
-    fn sync_target(&self, view: &View, service: &Service, entry: &Registered) {
+    fn sync_target(&self, view: &View, service: &Service, entry: &ServerEntry) {
         let member = &entry.member;
         let mut targets = service.targets.borrow_mut();
         let old = targets.get(&member.life).filter(|t| t.addr == member.addr);
@@ -145,15 +148,15 @@
                     cold_until: Cell::default(),
                     limit: Cell::default(),
                     slots: Cell::new(member.slots),
-                    intake: Cell::new(Intake::Closed),
+                    admission: Cell::new(Admission::Closed),
                     ours: Cell::new(None),
                 });
                 targets.insert(member.life.clone(), Rc::clone(&target));
                 target
             }
         };
-        // A warm server may become cold again at any moment, under the same start.
-        target.cold_for(entry.heard, member.cold);
+        // A server can start to warm up again at any time without a restart.
+        target.cold_for(entry.updated, member.cold);
         target.slots.set(member.slots);
         service.loads.borrow_mut().set(target.id, member.slots);
         let spec = view.site().and_then(|s| s.service(&service.name));
@@ -161,24 +164,24 @@
         let connections = spec.map_or(u32::MAX, |s| s.connections);
         let part = connections / self.peers.borrow().sharing() as u32;
         target.pool.set_cap(member.slots, part.max(2));
-        let intake = if view.is_out(&member.dc) {
-            Intake::Closed
+        let admission = if view.is_taken_out(&member.dc) {
+            Admission::Closed
         } else if entry.is_ready() && entry.missing.is_none() {
-            Intake::Open
+            Admission::Open
         } else {
             let since = entry.missing.unwrap_or(entry.since);
-            Intake::Until(drain_end(since, self.boot().bounds.drain))
+            Admission::Draining(drain_end(since, self.boot().bounds.drain))
         };
-        if intake == Intake::Closed || !entry.is_ready() {
+        if admission == Admission::Closed || !entry.is_ready() {
             target.pool.clear();
         }
-        target.intake.set(intake);
+        target.admission.set(admission);
     }
 
-    fn log(&self, belief: &Belief) {
+    fn log(&self, change: &ViewChange) {
         let revision = self.view.borrow().revision();
-        match belief {
-            Belief::Config { from, to, unknown } => {
+        match change {
+            ViewChange::Config { from, to, unknown } => {
                 let invariants = &self.process.invariants;
                 invariants.rises(Invariant::ConfigForward, from, to);
                 log::info!(from = from, version = to, revision = revision; "config_in_force");
@@ -188,27 +191,27 @@
                         "config_unknown_word");
                 }
             }
-            Belief::OldConfig { version, kept } => {
+            ViewChange::OldConfig { version, kept } => {
                 log::warn!(version = version, kept = kept; "config_not_newer");
             }
-            Belief::TakenOut(dc) => log::info!(dc:% = dc, revision = revision; "dc_out"),
-            Belief::TakenBack(dc) => log::info!(dc:% = dc, revision = revision; "dc_back"),
-            Belief::Server(name) => {
+            ViewChange::TakenOut(dc) => log::info!(dc:% = dc, revision = revision; "dc_out"),
+            ViewChange::TakenBack(dc) => log::info!(dc:% = dc, revision = revision; "dc_back"),
+            ViewChange::Server(name) => {
                 let view = self.view.borrow();
                 let entry = view.servers().find(|e| e.member.life.name == *name);
-                if let Some(Registered { member, .. }) = entry {
+                if let Some(ServerEntry { member, .. }) = entry {
                     log::info!(server:% = member.life, service:% = member.service, dc:% = member.dc,
                         state:? = member.state, cold_ms = member.cold.0, revision = revision; "server");
                 }
             }
-            Belief::ServerGone(name) => {
+            ViewChange::ServerGone(name) => {
                 log::info!(server:% = name, revision = revision; "server_entry_gone");
             }
-            Belief::Unreadable(e) => {
+            ViewChange::Unreadable(e) => {
                 self.counters.bad_entries.inc();
                 log::warn!(entry = e.entry, field = e.field, reason = e.reason; "bad_entry");
             }
-            Belief::Own(_) => {}
+            ViewChange::Own(_) => {}
         }
     }
 }
--- a/crates/chicoryrail-router/src/state/mod.rs
+++ b/crates/chicoryrail-router/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What this host believes, and the state that its tasks share.
+//! The state that the tasks of this host share: its view of the store, services, servers and metrics.
 
 mod asks;
 mod believe;
@@ -23,8 +23,8 @@
 pub(crate) use service::Service;
 pub(crate) use source::Source;
 pub(crate) use source::SourceState;
-pub(crate) use target::Intake;
+pub(crate) use target::Admission;
 pub(crate) use target::Target;
 pub(crate) use target::drain_end;
-pub(crate) use view::Belief;
 pub(crate) use view::View;
+pub(crate) use view::ViewChange;
--- a/crates/chicoryrail-router/src/state/organisations.rs
+++ b/crates/chicoryrail-router/src/state/organisations.rs
@@ -1,4 +1,4 @@
-//! The organisations that callers belong to, as this host knows them.
+//! The organisations of the configuration in force, and this host's standalone shares of their rate limits.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,20 +14,20 @@
 use chicoryrail_policy::KeyIndex;
 use chicoryrail_policy::LoneShare;
 
-/// The organisations that callers belong to, as this host knows them.
+/// The organisations of the configuration in force, and this host's standalone shares of their rate limits.
 #[derive(Debug)]
 pub(crate) struct Organisations {
     secret: [u8; 16],
     index: RefCell<KeyIndex>,
-    /// Version of the configuration that the index is of.
+    /// Version of the configuration from which the index was built.
     version: Cell<u64>,
-    /// How old the configuration may be.
+    /// When the configuration was last verified to be current.
     freshness: Cell<Freshness>,
     lone: RefCell<HashMap<OrganisationName, LoneShare>>,
 }
 
 impl Organisations {
-    /// Builds an empty index with a secret of its own.
+    /// Creates an empty index with a random secret.
     pub(crate) fn new() -> Self {
         Self {
             secret: rand::random(),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes in the configuration in force; tells whether it is another one.
+    /// Applies the configuration in force. Returns whether its version differs from the one applied before.
     pub(crate) fn set(&self, site: &Site) -> bool {
         if self.version.replace(site.version) == site.version {
             return false;
@@ -50,28 +50,29 @@
         true
     }
 
-    /// Returns the organisation that holds a key.
+    /// Returns the organisation to which an API key belongs.
     pub(crate) fn holder(&self, key: &[u8]) -> Option<Arc<Organisation>> {
         self.index.borrow().holder(key).cloned()
     }
 
-    /// Takes in that the configuration was current at `at`.
+    /// Records that the configuration was verified to be current at `at`.
     pub(crate) fn prove_current(&self, at: Millis) {
         let mut freshness = self.freshness.get();
         freshness.prove(at);
         self.freshness.set(freshness);
     }
 
-    /// Returns how old the configuration may be.
+    /// Returns when the configuration was last verified to be current.
     pub(crate) fn freshness(&self) -> Freshness {
         self.freshness.get()
     }
 
-    /// Takes a token for a request that no scheduler counts.
+    /// Takes a token from this host's standalone share of a limit, for a request that no scheduler counts. The limit is
+    /// divided among `hosts` hosts.
     ///
     /// # Errors
     ///
-    /// Returns the time after which there is one.
+    /// Returns the time after which a token is available.
     pub(crate) fn take_lone(
         &self,
         now: Millis,
--- a/crates/chicoryrail-router/src/state/quota_shares.rs
+++ b/crates/chicoryrail-router/src/state/quota_shares.rs
@@ -1,4 +1,4 @@
-//! The tokens of organisations that this host holds as one that schedules.
+//! Rate-limit tokens of organisations that the leader granted to this host as a scheduler.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,32 +18,32 @@
 
 use crate::state::Router;
 
-/// Time for which a request waits for a token: it asks again once by then.
+/// Longest time for which a request waits for a token; it tries again within that time.
 const TOKEN_WAIT_MAX: Millis = Millis(100);
 
-/// Time after which a request that waited is forgotten: its caller has left.
-const TOKEN_WAIT_FORGOTTEN: Millis = Millis(2_000);
+/// Time after which the record of a waiting request is removed: its caller has disconnected.
+const TOKEN_WAIT_EXPIRY: Millis = Millis(2_000);
 
-/// The tokens of organisations that this host holds as one that schedules.
+/// Rate-limit tokens of organisations that the leader granted to this host as a scheduler.
 #[derive(Debug, Default)]
 pub(crate) struct QuotaShares {
     shares: RefCell<BTreeMap<OrganisationName, Share>>,
-    /// When the leader last answered a report; `None` since this process started.
+    /// When the leader last answered a report; `None` if it has not since this process started.
     answered: Cell<Option<Millis>>,
     /// Notified when an organisation runs low on tokens.
     pub(crate) low: Signal,
-    /// Since when requests wait for a token, by ticket.
+    /// When each waiting request began to wait for a token, by ticket.
     waiting: RefCell<HashMap<u64, Millis>>,
 }
 
-/// What becomes of a request that needs a token.
+/// Outcome of taking a token for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TokenAnswer {
-    /// It has one.
+    /// The request has a token.
     Taken,
-    /// There will be one in a moment: it is to ask again.
+    /// A token is expected within a moment; the request tries again.
     Wait,
-    /// There may be one after this time.
+    /// The request is refused; a token may be available after this time.
     Refused(Millis),
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl QuotaShares {
-    /// Takes in the organisations that have a limit.
+    /// Replaces the organisations that have a limit; the tokens of those that remain are kept.
     pub(crate) fn set(&self, site: &Site) {
         let mut old = self.shares.take();
         let all = site.organisations().unwrap_or_default().iter();
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Tells whether any organisation has a limit.
+    /// Returns whether any organisation has a limit.
     pub(crate) fn has_limits(&self) -> bool {
         !self.shares.borrow().is_empty()
     }
 
-    /// Returns the limit of an organisation; `None` where it has none.
+    /// Returns the limit of an organisation; `None` if it has none.
     pub(crate) fn limit(&self, name: &OrganisationName) -> Option<QuotaLimit> {
         self.shares.borrow().get(name).map(|s| s.limit)
     }
@@ -96,8 +96,9 @@
 
     /// Takes a token for a request.
     ///
-    /// Load: many schedulers, each with few requests of an organisation. They can't all hold a token of a small limit;
-    /// a request that finds none waits once, for as long as the leader takes to send one.
+    /// With many schedulers that each see few requests of an organisation, a small limit has too few tokens for each
+    /// scheduler to keep one. A request that finds none therefore waits once, up to [`TOKEN_WAIT_MAX`], for the leader
+    /// to grant one.
     pub(crate) fn take(
         &self,
         router: &Router,
@@ -119,7 +120,9 @@
                 self.waiting.borrow_mut().remove(&ticket);
                 TokenAnswer::Taken
             }
-            Err(_) if share.tokens.may_wait(&bound) && self.waits(now, ticket) => TokenAnswer::Wait,
+            Err(_) if share.tokens.may_wait(&bound) && self.record_wait(now, ticket) => {
+                TokenAnswer::Wait
+            }
             Err(after) => {
                 self.waiting.borrow_mut().remove(&ticket);
                 TokenAnswer::Refused(after)
@@ -127,28 +130,29 @@
         }
     }
 
-    /// Notes that a request waits for a token; tells whether it still may.
-    fn waits(&self, now: Millis, ticket: u64) -> bool {
+    /// Records that a request waits for a token. Returns whether it may wait longer.
+    fn record_wait(&self, now: Millis, ticket: u64) -> bool {
         let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|_, since| now.since(*since) <= TOKEN_WAIT_FORGOTTEN);
+        waiting.retain(|_, since| now.since(*since) <= TOKEN_WAIT_EXPIRY);
         let since = *waiting.entry(ticket).or_insert(now);
         now.since(since) < TOKEN_WAIT_MAX
     }
 
-    /// Tells whether the leader has not answered for so long that this host spends its own part of each limit.
+    /// Returns whether this host is standalone: the leader has not answered for [`LONE_AFTER`], so that this host
+    /// spends its own share of each limit without grants.
     pub(crate) fn is_lone(&self, now: Millis) -> bool {
         let answered = self.answered.get();
         answered.is_none_or(|at| now.since(at) > LONE_AFTER)
     }
 
-    /// Gives back the token of a request that did not run.
+    /// Returns the token of a request that did not run.
     pub(crate) fn give_back(&self, name: &OrganisationName) {
         if let Some(share) = self.shares.borrow_mut().get_mut(name) {
             share.tokens.give_back();
         }
     }
 
-    /// Returns what the leader is told of the organisations whose tokens changed.
+    /// Returns the reports to the leader that are due, one per organisation.
     pub(crate) fn reports(&self, router: &Router) -> Vec<(OrganisationName, QuotaReport)> {
         let now = router.now();
         let mut reports = Vec::new();
@@ -161,7 +165,7 @@
         reports
     }
 
-    /// Takes in what the leader answered.
+    /// Applies the grants that the leader sent.
     pub(crate) fn granted(&self, now: Millis, grants: &[(OrganisationName, QuotaGrant)]) {
         self.answered.set(Some(now));
         let mut shares = self.shares.borrow_mut();
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -41,29 +41,29 @@
 use crate::state::View;
 use crate::talk::FEED_COUNT;
 use crate::talk::PartName;
-use crate::talk::Talk;
+use crate::talk::PeerSocket;
 
-/// Speed of a link in megabits a second below which a host leads and schedules only where hardly any other does: its
-/// replies wait behind downloads, longer than those that ask wait for them.
+/// Link speed in megabits per second below which a host leads and schedules only if hardly any other host can: its
+/// replies queue behind downloads for longer than the hosts that query it wait.
 const SLOW_LINK_MBPS: f64 = 50.0;
 
-/// Part of its strength that a host with a slow link counts with.
+/// Divisor that reduces the advertised power of a host with a slow link.
 const SLOW_LINK_POWER_DIVISOR: u32 = 50;
 
-/// Time without a relay's reply after which a leaf host counts as cut off from the other hosts.
-const ALONE_AFTER: Millis = Millis(1_500);
+/// Time without a reply of its relay after which a leaf host counts as isolated from the other hosts.
+const RELAY_REPLY_TIMEOUT: Millis = Millis(1_500);
 
-/// Time after its start in which a host may not know how many others there are. After a loss of power on all hosts,
-/// parts by the few that it knows would add up to many times what they share.
-const UNSURE_OF_HOSTS_TIME: Millis = Millis(5_000);
+/// Time after its start in which a host may not know how many others there are. After a power loss on all hosts,
+/// shares computed from the few hosts known so far would add up to many times the shared limit.
+const HOST_DISCOVERY_TIME: Millis = Millis(5_000);
 
-/// Hosts that are assumed in that time.
-const UNKNOWN_HOSTS: usize = 64;
+/// Smallest number of hosts assumed within [`HOST_DISCOVERY_TIME`].
+const ASSUMED_HOSTS_MIN: usize = 64;
 
-/// Time without a request of a leaf host after which it no longer counts as one that follows this host.
+/// Time without a relay request after which a leaf host no longer counts as one that uses this host as relay.
 const LEAF_TIMEOUT: Millis = Millis(3_000);
 
-/// The process.
+/// State that all tasks of the process share: settings, view of the store, services, peers and metrics.
 #[derive(Debug)]
 pub(crate) struct Router {
     pub(crate) process: Process,
@@ -74,22 +74,22 @@
     pub(crate) control: KeyControl,
     pub(crate) view: RefCell<View>,
     pub(crate) peers: RefCell<Peers>,
-    /// Which data centres' servers answer this host.
+    /// Data centres whose servers answer this host.
     pub(crate) reach: RefCell<Reach>,
-    /// Bounds on callers' connections.
+    /// HTTP limits for callers' connections.
     pub(crate) limits: SharedLimits,
-    /// Requests being served.
+    /// Number of requests in progress.
     pub(crate) serving: Cell<u32>,
     /// Whether the last call to the store was answered.
     pub(crate) store_up: Cell<bool>,
-    pub(crate) talk: Rc<Talk>,
-    /// Requests that wait for the scheduler's reply.
+    pub(crate) talk: Rc<PeerSocket>,
+    /// Slot queries that await the scheduler's decision.
     pub(crate) asks: Asks,
-    /// The requests for which this host schedules.
+    /// The schedulers that run on this host.
     pub(crate) schedulers: Schedulers,
-    /// The organisations that callers belong to.
+    /// Organisations of the configuration in force, and this host's standalone shares of their rate limits.
     pub(crate) organisations: Organisations,
-    /// Tokens of organisations' limits for the requests that this host schedules.
+    /// Rate-limit tokens of organisations, for the requests that this host schedules.
     pub(crate) quota: QuotaShares,
     /// Notified when the store answers again after an outage.
     pub(crate) store_returns: Signal,
@@ -97,25 +97,27 @@
     pub(crate) store_lost: Cell<Option<Millis>>,
     /// Term in which this host leads; 0 while it does not.
     pub(crate) leads: Cell<u64>,
-    /// From whom this host hears what the store says.
+    /// Where this host reads the content of the store from: the store itself or a relay.
     pub(crate) source: SourceState,
-    /// The parts of the store as hosts hear them that follow this one.
+    /// Recent changes of each feed of the store, for the hosts that use this one as relay.
     pub(crate) feed_logs: RefCell<[FeedLog; FEED_COUNT]>,
-    /// Notified when there may be news for hosts that follow this one.
+    /// Notified when there may be updates for the hosts that use this one as relay.
     pub(crate) news: Signal,
-    /// When each leaf host that follows this one asked last.
+    /// Time of the last request of each leaf host that uses this one as relay.
     pub(crate) leaves: RefCell<HashMap<HostName, Millis>>,
     services: RefCell<HashMap<ServiceName, Rc<Service>>>,
+    /// Weighted round robin of each route over its services.
     turns: RefCell<HashMap<String, WeightedTurn>>,
-    works: RefCell<HashMap<String, f64>>,
+    /// Mean service time of each route's requests, in microseconds.
+    work_means: RefCell<HashMap<String, f64>>,
 }
 
 impl Router {
-    /// Builds the state of a process that knows nothing yet.
-    pub(crate) fn new(boot: Boot, options: Options, talk: &Rc<Talk>) -> Rc<Self> {
+    /// Creates the state of a process that has not read the store yet.
+    pub(crate) fn new(boot: Boot, options: Options, talk: &Rc<PeerSocket>) -> Rc<Self> {
         let process = Process::new();
         let limits = HttpLimits {
-            connections: connections(&boot),
+            connections: max_connections(&boot),
             ..HttpLimits::default()
         };
         Rc::new(Self {
@@ -142,26 +144,27 @@
             leaves: RefCell::default(),
             services: RefCell::default(),
             turns: RefCell::default(),
-            works: RefCell::default(),
+            work_means: RefCell::default(),
             process,
             options,
             boot: RefCell::new(Rc::new(boot)),
         })
     }
 
-    /// Returns the settings that the platform gave.
+    /// Returns the settings from the platform's boot file.
     pub(crate) fn boot(&self) -> Rc<Boot> {
         Rc::clone(&self.boot.borrow())
     }
 
-    /// Takes in settings that changed. Addresses hold until the next start: the sockets are bound.
+    /// Replaces the settings and returns whether they changed. New addresses take effect at the next start, since the
+    /// sockets are already bound.
     pub(crate) fn reload(&self, boot: Boot) -> bool {
         let changed = **self.boot.borrow() != boot;
         *self.boot.borrow_mut() = Rc::new(boot);
         changed
     }
 
-    /// Reads the clock.
+    /// Returns the time on the clock of the process, which starts at zero.
     pub(crate) fn now(&self) -> Millis {
         self.process.clock.now()
     }
@@ -171,7 +174,7 @@
         self.view.borrow().site().cloned()
     }
 
-    /// Returns a service, without servers where it is new.
+    /// Returns a service; an unknown one is added without servers.
     pub(crate) fn service(&self, name: &ServiceName) -> Rc<Service> {
         if let Some(service) = self.services.borrow().get(name) {
             return Rc::clone(service);
@@ -182,17 +185,18 @@
         service
     }
 
-    /// Returns the services known.
+    /// Returns all known services.
     pub(crate) fn services(&self) -> Vec<Rc<Service>> {
         self.services.borrow().values().cloned().collect()
     }
 
-    /// Tells whether this host leads, or heard the leader within `age`.
+    /// Returns whether this host leads, or received a heartbeat of the leader within `age`.
     pub(crate) fn hears_leader(&self, age: Millis) -> bool {
         self.leads.get() > 0 || self.peers.borrow().hears_leader(self.now(), age)
     }
 
-    /// Returns the thousandths of a core that this host has to lead and to schedule with.
+    /// Returns the CPU capacity that this host advertises for leading and scheduling, in thousandths of a core; a slow
+    /// link reduces it.
     pub(crate) fn power(&self) -> u32 {
         let limits = self.boot().limits;
         let core = (limits.cpu * 1_000.0) as u32;
@@ -202,18 +206,18 @@
         core
     }
 
-    /// Tells whether this host schedules requests for servers: a core host does, but not while it stops.
+    /// Returns whether this host schedules requests for servers: a core host does unless it is stopping.
     pub(crate) fn schedules(&self) -> bool {
         self.source.core.get() && !self.process.stop.is_cancelled()
     }
 
-    /// Returns the address of this host's talk with the others.
+    /// Returns the address at which this host exchanges messages with other hosts.
     pub(crate) fn talk_addr(&self) -> SocketAddr {
         let boot = self.boot();
         SocketAddr::new(boot.ip, *boot.ports.start())
     }
 
-    /// Returns what this host says of itself.
+    /// Returns the state that this host reports in its heartbeats.
     pub(crate) fn host_state(&self) -> HostState {
         HostState {
             store: self.store_up.get(),
@@ -226,7 +230,7 @@
         }
     }
 
-    /// Returns the number of leaf hosts that follow this one.
+    /// Returns the number of leaf hosts that use this one as relay.
     pub(crate) fn leaves(&self) -> u32 {
         let now = self.now();
         let mut leaves = self.leaves.borrow_mut();
@@ -234,7 +238,7 @@
         leaves.len() as u32
     }
 
-    /// Returns the time since the leader was heard; none where this host leads.
+    /// Returns the time since the last heartbeat of the leader: zero if this host leads, `None` if none was received.
     pub(crate) fn leader_age(&self) -> Option<Millis> {
         if self.leads.get() > 0 {
             return Some(Millis::ZERO);
@@ -250,35 +254,37 @@
     ) -> SchedulerHost {
         let target = server.and_then(|life| service.target(life));
         let dc = target.as_ref().map(|t| &t.dc);
-        self.draw_scheduler(dc, &(&service.name, server))
+        self.select_scheduler(dc, &(&service.name, server))
     }
 
-    /// Returns the host that schedules the requests for a part of a service without keys.
+    /// Returns the host that schedules the requests for a part of a service that is not keyed.
     pub(crate) fn part_scheduler(&self, part: &PartName) -> SchedulerHost {
-        self.draw_scheduler(part.dc.as_ref(), part)
+        self.select_scheduler(part.dc.as_ref(), part)
     }
 
     /// Returns the host that schedules the requests for a server.
     pub(crate) fn target_scheduler(&self, service: &Service, target: &Target) -> SchedulerHost {
         if service.is_keyed() {
-            return self.draw_scheduler(Some(&target.dc), &(&service.name, Some(&target.life)));
+            return self.select_scheduler(Some(&target.dc), &(&service.name, Some(&target.life)));
         }
         self.part_scheduler(&service.part_in(&target.dc))
     }
 
-    fn draw_scheduler(&self, dc: Option<&DcName>, name: &impl Hash) -> SchedulerHost {
+    /// Selects a scheduler for `name` by rendezvous hashing, preferring powerful hosts in `dc`.
+    fn select_scheduler(&self, dc: Option<&DcName>, name: &impl Hash) -> SchedulerHost {
         let boot = self.boot();
-        let said = HostState {
+        let own_state = HostState {
             power: self.power(),
             schedules: self.schedules(),
             dc: Some(boot.dc.clone()),
             ..HostState::default()
         };
         let peers = self.peers.borrow();
-        peers.scheduler(self.now(), (&boot.host, &said), dc, name)
+        peers.scheduler(self.now(), (&boot.host, &own_state), dc, name)
     }
 
-    /// Tells whether another host is so much stronger that it should lead, and reaches all that this one does.
+    /// Returns whether another host is so much more powerful that it should lead, and reaches all data centres that
+    /// this one reaches.
     pub(crate) fn knows_stronger(&self) -> bool {
         let now = self.now();
         let reaches = self.reach.borrow().lately(now);
@@ -286,7 +292,7 @@
         peers.stronger(now, self.power(), &reaches)
     }
 
-    /// Returns the bound on repeats that holds over all hosts.
+    /// Returns the retry budget that all hosts share.
     pub(crate) fn retry_bound(&self) -> RetryBound {
         let bounds = self.boot().bounds;
         RetryBound {
@@ -297,7 +303,7 @@
         }
     }
 
-    /// Returns by what an organisation's limit may be exceeded over all hosts.
+    /// Returns by how much all hosts together may exceed an organisation's limit.
     pub(crate) fn quota_allowance(&self) -> Allowance {
         let bounds = self.boot().bounds;
         Allowance {
@@ -307,49 +313,51 @@
         }
     }
 
-    /// Tells whether this process started so short a time ago that it may not know how many hosts there are.
+    /// Returns whether this process started so recently that it may not know how many hosts there are.
     pub(crate) fn is_unsure_of_hosts(&self, now: Millis) -> bool {
-        now < UNSURE_OF_HOSTS_TIME
+        now < HOST_DISCOVERY_TIME
     }
 
-    /// Returns the number of hosts among which the part of a limit is shared that no scheduler counts.
+    /// Returns the number of hosts that divide the part of a limit for requests that no scheduler counts.
     pub(crate) fn lone_hosts(&self) -> usize {
         let known = self.peers.borrow().sharing();
         if self.is_unsure_of_hosts(self.now()) {
-            return known.max(UNKNOWN_HOSTS);
+            return known.max(ASSUMED_HOSTS_MIN);
         }
         known
     }
 
-    /// Tells whether API keys may be served: the configuration was current within the bound on revocations.
+    /// Returns whether requests with API keys may be served: the configuration was verified to be current within the
+    /// bound on the delay of revocations.
     pub(crate) fn knows_revocations(&self, now: Millis) -> bool {
         let bound = self.boot().bounds.revoke;
         let freshness = self.organisations.freshness();
         bound.is_none_or(|bound| freshness.holds(now, bound))
     }
 
-    /// Tells whether this host hears any other.
-    pub(crate) fn hears_hosts(&self, now: Millis) -> bool {
+    /// Returns whether this host recently received messages of any other: heartbeats on a core host, replies of the
+    /// relay on a leaf host.
+    pub(crate) fn has_peer_contact(&self, now: Millis) -> bool {
         if self.source.core.get() {
             return self.peers.borrow().heard_lately(now).next().is_some();
         }
-        now.since(self.source.replied.get()) <= ALONE_AFTER
+        now.since(self.source.replied.get()) <= RELAY_REPLY_TIMEOUT
     }
 
-    /// Tells whether the store may have been away at some moment of the last `age`. A process that has not
-    /// run for so long can't know.
+    /// Returns whether the store may have been down at some time within the last `age`. A process that has not run for
+    /// that long can't know and returns true.
     pub(crate) fn store_was_away(&self, now: Millis, age: Millis) -> bool {
         let lost = self.store_lost.get();
         now <= age || !self.store_up.get() || lost.is_some_and(|at| now.since(at) <= age)
     }
 
-    /// Tells whether this host and every other one says that the store is away. A successor that has the
-    /// store can't be among them, so it may take it that no grant was made for the time of an outage.
+    /// Returns whether this host and every other one report that the store is down. A successor that reaches the store
+    /// does not report that, so it may assume that no key lease of the longer duration for outages was granted.
     pub(crate) fn all_lost_store(&self, now: Millis) -> bool {
         !self.store_up.get() && self.peers.borrow().all_lost_store(now)
     }
 
-    /// Returns what a cold server of a service bears in a second from all hosts together.
+    /// Returns the bound on requests per second that all hosts together may send to a server that is warming up.
     pub(crate) fn cold_bound(&self, service: &ServiceName) -> f64 {
         let bounds = self.boot().bounds;
         let site = self.site();
@@ -357,7 +365,8 @@
         rate.unwrap_or(0.0) * bounds.cold_over + bounds.cold_slack
     }
 
-    /// Returns the index of the part whose turn it is on a route.
+    /// Returns the index of the next service of a route by weighted round robin. The start depends on the process, so
+    /// that hosts do not all begin with the same one.
     pub(crate) fn turn(&self, route: &str, weights: &[u32]) -> usize {
         let mut turns = self.turns.borrow_mut();
         let turn = turns.entry(route.to_owned()).or_default();
@@ -365,25 +374,29 @@
         turn.next(weights, start)
     }
 
-    /// Returns how long a usual server works on a request of the route, in microseconds; at first a third
-    /// of the time that the caller aims at.
+    /// Returns the mean service time of the route's requests at an average server, in microseconds; before the first
+    /// observation a third of the latency target `aim`.
     pub(crate) fn work(&self, route: &str, aim: Millis) -> f64 {
-        let works = self.works.borrow();
-        works.get(route).copied().unwrap_or(aim.0 as f64 * 333.0)
+        let work_means = self.work_means.borrow();
+        work_means
+            .get(route)
+            .copied()
+            .unwrap_or(aim.0 as f64 * 333.0)
     }
 
-    /// Takes in how long a request of the route took.
+    /// Records the service time `us` of a request of the route, in microseconds. An observation counts at most as five
+    /// times the mean.
     pub(crate) fn worked(&self, route: &str, aim: Millis, us: f64) {
-        /// Part of a new observation in the mean.
-        const PART: f64 = 0.05;
+        /// Weight of a new observation in the exponentially weighted mean.
+        const EWMA_WEIGHT: f64 = 0.05;
         let before = self.work(route, aim);
-        let after = before + (us.min(before * 5.0) - before) * PART;
-        self.works.borrow_mut().insert(route.to_owned(), after);
+        let after = before + (us.min(before * 5.0) - before) * EWMA_WEIGHT;
+        self.work_means.borrow_mut().insert(route.to_owned(), after);
     }
 }
 
-/// Returns how many connections of callers a process with its file descriptors may have: a quarter stays
-/// for servers, the store and other hosts.
-fn connections(boot: &Boot) -> u32 {
+/// Returns the maximum number of callers' connections for the file descriptors of the process: a quarter is left for
+/// servers, the store and other hosts.
+fn max_connections(boot: &Boot) -> u32 {
     boot.limits.fds.saturating_sub(300).max(64) / 4 * 3
 }
--- a/crates/chicoryrail-router/src/state/schedulers.rs
+++ b/crates/chicoryrail-router/src/state/schedulers.rs
@@ -1,4 +1,4 @@
-//! The requests for which this host schedules.
+//! The schedulers that run on this host.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,46 +15,49 @@
 use crate::talk::PartName;
 use crate::talk::PartRoom;
 
-/// Who asked.
+/// The host and the request that a slot query came from.
 #[derive(Clone, Debug)]
 pub(crate) struct Origin {
-    /// Host that asked; `None` for this one.
+    /// Address of the host that sent the query; `None` for this host.
     pub(crate) from: Option<SocketAddr>,
-    /// Id that the caller gave, for the log.
+    /// Request id from the caller, for the log.
     pub(crate) id: String,
-    /// Organisation of whose limit it has a token, which is given back should it not run.
+    /// Organisation whose rate-limit token the request has; the token is returned if the request does not run.
     pub(crate) token: Option<OrganisationName>,
 }
 
-/// The requests for which this host schedules, by part of a service.
+/// The schedulers that run on this host, one for each part of a service: a part is a scheduling partition, all servers
+/// of a service or those in one data centre.
 #[derive(Debug, Default)]
 pub(crate) struct Schedulers {
     pub(crate) by_part: RefCell<BTreeMap<PartName, Scheduler>>,
-    /// Who asked, by ticket.
+    /// Origin of each slot query, by ticket.
     pub(crate) origins: RefCell<HashMap<u64, Origin>>,
+    /// Data centres by their number.
     dcs: RefCell<Vec<DcName>>,
-    rooms: RefCell<BTreeMap<ServiceName, PartRooms>>,
+    /// Free slots that the schedulers of divided services reported.
+    free_slots: RefCell<BTreeMap<ServiceName, PartRooms>>,
 }
 
 impl Schedulers {
-    /// Takes in how many slots of a part are free.
+    /// Records how many slots of a part are free.
     pub(crate) fn heard_room(&self, now: Millis, room: &PartRoom) {
         let Some(dc) = &room.part.dc else {
             return;
         };
-        let mut rooms = self.rooms.borrow_mut();
-        let service = rooms.entry(room.part.service.clone()).or_default();
+        let mut free_slots = self.free_slots.borrow_mut();
+        let service = free_slots.entry(room.part.service.clone()).or_default();
         service.heard(now, dc, room.free);
     }
 
-    /// Takes a free slot of another part of the same service; returns its data centre.
+    /// Takes a free slot of another part of the same service and returns the data centre of that part.
     pub(crate) fn take_room(&self, now: Millis, part: &PartName) -> Option<DcName> {
         let own = part.dc.as_ref()?;
-        let mut rooms = self.rooms.borrow_mut();
-        rooms.get_mut(&part.service)?.take(now, own)
+        let mut free_slots = self.free_slots.borrow_mut();
+        free_slots.get_mut(&part.service)?.take(now, own)
     }
 
-    /// Returns the number that stands for a data centre at the schedulers.
+    /// Returns the number that identifies a data centre in the schedulers of this host.
     pub(crate) fn dc_number(&self, dc: &DcName) -> u32 {
         let mut dcs = self.dcs.borrow_mut();
         let at = dcs.iter().position(|d| d == dc).unwrap_or_else(|| {
--- a/crates/chicoryrail-router/src/state/service.rs
+++ b/crates/chicoryrail-router/src/state/service.rs
@@ -19,36 +19,38 @@
 use crate::state::Target;
 use crate::talk::PartName;
 
-/// Servers in a data centre, on average, from which the scheduling of a service without keys is divided by data
-/// centre. Fewer are better scheduled together: a request finds a free one among all, and one host bears the load.
+/// Average number of servers per data centre from which each data centre of a service that is not keyed is scheduled
+/// separately. Fewer servers are better scheduled together: a request can use a free one anywhere, and one host can
+/// handle the load.
 const SERVERS_PER_PART_MIN: usize = 12;
 
-/// Keys that are kept between two reports to the leader.
-const ASKED_KEYS_MAX: usize = 400;
+/// Maximum number of requested keys that are recorded between two reports to the leader.
+const REPORTED_KEYS_MAX: usize = 400;
 
 /// One service and its servers.
 #[derive(Debug)]
 pub(crate) struct Service {
     pub(crate) name: ServiceName,
-    /// What is known of the servers' load.
+    /// Load of the servers, as far as this host knows.
     pub(crate) loads: RefCell<SharedServers>,
-    /// This host's repeats.
+    /// Retry budget of this host.
     pub(crate) retries: RefCell<SharedRetries>,
-    /// Who holds which keys, where the service is keyed.
+    /// Owners of the keys, if the service is keyed.
     pub(crate) keys: RefCell<KeyView>,
-    /// Notified when a request ended at a server, or when servers or owners changed.
+    /// Notified when a request ends at a server, or when servers or key owners change.
     pub(crate) changed: Signal,
-    /// Keys asked for since the last report to the leader.
+    /// Keys of requests since the last report to the leader.
     pub(crate) asked: RefCell<Vec<u16>>,
+    /// Servers of the service, by incarnation.
     pub(crate) targets: RefCell<HashMap<Life, Rc<Target>>>,
     pub(crate) keyed: Cell<bool>,
-    /// Whether each data centre's servers are scheduled by themselves.
+    /// Whether the servers of each data centre are scheduled separately.
     pub(crate) divided: Cell<bool>,
-    next: Cell<u32>,
+    next_id: Cell<u32>,
 }
 
 impl Service {
-    /// Builds a service without servers.
+    /// Creates a service without servers.
     pub(crate) fn new(name: &ServiceName) -> Rc<Self> {
         Rc::new(Self {
             name: name.clone(),
@@ -60,31 +62,31 @@
             targets: RefCell::default(),
             keyed: Cell::new(false),
             divided: Cell::new(false),
-            next: Cell::new(0),
+            next_id: Cell::new(0),
         })
     }
 
-    /// Notes a key that a request asks for, for the leader's view of the load; a burst that outgrows the list loses
-    /// only detail.
+    /// Records the key of a request for the report to the leader, which balances load by key. Keys beyond
+    /// [`REPORTED_KEYS_MAX`] are dropped, which only makes the report less precise.
     pub(crate) fn note_key(&self, key: u16) {
         let mut asked = self.asked.borrow_mut();
-        if asked.len() < ASKED_KEYS_MAX {
+        if asked.len() < REPORTED_KEYS_MAX {
             asked.push(key);
         }
     }
 
-    /// Returns a number that no other server of this run has.
+    /// Returns a new server id, unique within the service for the lifetime of the process.
     pub(crate) fn next_id(&self) -> ServerId {
-        let id = self.next.get();
-        self.next.set(id + 1);
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
         ServerId(id)
     }
 
-    /// Decides whether the service is divided, by the servers that it has.
+    /// Decides by the current servers whether each data centre is scheduled separately.
     ///
-    /// Load: hundreds of servers and requests a second, which one host would schedule for all data centres, each
-    /// request asking and answered across them.
-    pub(crate) fn divide(&self) {
+    /// With hundreds of servers and requests per second, a single scheduling host would be a bottleneck, and slot
+    /// queries and their decisions would cross data centres.
+    pub(crate) fn update_divided(&self) {
         let targets = self.targets.borrow();
         let mut dcs: Vec<&DcName> = targets.values().map(|t| &t.dc).collect();
         dcs.sort();
@@ -94,7 +96,7 @@
             .set(!self.is_keyed() && dcs.len() > 1 && enough);
     }
 
-    /// Returns the parts of a divided service; none of another one.
+    /// Returns the parts of a divided service; empty if the service is not divided.
     pub(crate) fn parts(&self) -> BTreeSet<PartName> {
         if !self.divided.get() {
             return BTreeSet::new();
@@ -111,25 +113,25 @@
         }
     }
 
-    /// Tells whether each key is served by the one server that holds it.
+    /// Returns whether the service is keyed: each key is served only by the server that owns it.
     pub(crate) fn is_keyed(&self) -> bool {
         self.keyed.get()
     }
 
-    /// Returns a server by its life.
+    /// Returns the server with this incarnation.
     pub(crate) fn target(&self, life: &Life) -> Option<Rc<Target>> {
         self.targets.borrow().get(life).cloned()
     }
 
-    /// Returns the servers that may get new work: those that are ready, and where there is none, those
-    /// that are about to leave, as long as that is allowed.
+    /// Returns the servers that may receive new requests: the ready ones, or, if there are none, the draining ones that
+    /// still may receive requests.
     pub(crate) fn open_targets(&self, now: Millis) -> Vec<Rc<Target>> {
         let targets = self.targets.borrow();
         let open: Vec<_> = targets.values().filter(|t| t.is_ready()).cloned().collect();
         if !open.is_empty() {
             return open;
         }
-        let leaving = targets.values().filter(|t| t.may_get(now));
-        leaving.cloned().collect()
+        let draining = targets.values().filter(|t| t.may_get(now));
+        draining.cloned().collect()
     }
 }
--- a/crates/chicoryrail-router/src/state/source.rs
+++ b/crates/chicoryrail-router/src/state/source.rs
@@ -1,4 +1,4 @@
-//! From whom this host hears what the store says.
+//! Where this host reads the content of the store from.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -6,34 +6,34 @@
 use chicoryrail_core::Millis;
 use chicoryrail_runtime::Signal;
 
-/// From whom this host hears what the store says.
+/// Where this host reads the content of the store from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// From nobody yet.
+    /// Not chosen yet.
     #[default]
     Unknown,
-    /// From the store, which it watches.
+    /// Watches of the store itself.
     Store,
-    /// From another host.
+    /// The relay of another host, at this address.
     Relay(SocketAddr),
 }
 
-/// This host's part among the others, and its source.
+/// Role of this host, core or leaf, and its source.
 #[derive(Debug, Default)]
 pub(crate) struct SourceState {
-    /// Whether this is a core host: one that the store lists, and that schedules and may lead.
+    /// Whether this is a core host: it is listed in the store, schedules requests and may lead.
     pub(crate) core: Cell<bool>,
-    /// Since when it is known which core hosts there are; `None` at the start.
+    /// When the list of core hosts was first read; `None` before that.
     pub(crate) listed: Cell<Option<Millis>>,
     pub(crate) source: Cell<Source>,
     /// Notified when the source changes.
     pub(crate) changed: Signal,
-    /// When a relay last replied.
+    /// Time of the last reply of a relay.
     pub(crate) replied: Cell<Millis>,
 }
 
 impl SourceState {
-    /// Tells whether this host watches the store itself.
+    /// Returns whether this host watches the store itself.
     pub(crate) fn watches(&self) -> bool {
         self.source.get() == Source::Store
     }
--- a/crates/chicoryrail-router/src/state/target.rs
+++ b/crates/chicoryrail-router/src/state/target.rs
@@ -1,4 +1,4 @@
-//! One start of a server.
+//! One incarnation of a server: from its start until it ends.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,66 +14,67 @@
 use chicoryrail_runtime::ServerPool;
 use http::HeaderValue;
 
-/// Part of the drain time in which a leaving server still gets work where there is no other: the rest
-/// covers the time in which this host hears of the leave and the request is on its way.
-const DRAIN_PART: u64 = 2;
+/// Divisor of the drain time: if no other server is ready, a draining server still receives requests in the first half
+/// of its drain time. The rest covers the delay until this host learns of the drain and the transit of the request.
+const DRAIN_DIVISOR: u64 = 2;
 
-/// What a server may get.
+/// Which requests a server may receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Intake {
-    /// New work.
+pub(crate) enum Admission {
+    /// New requests.
     Open,
-    /// New work until this point, and only where no other server is open.
-    Until(Millis),
-    /// Nothing.
+    /// New requests until this time, and only if no other server is ready.
+    Draining(Millis),
+    /// No requests.
     Closed,
 }
 
-/// One start of a server.
+/// One incarnation of a server, with its connections, limits and warm-up state.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) life: Life,
     pub(crate) id: ServerId,
     pub(crate) addr: SocketAddr,
     pub(crate) dc: DcName,
-    /// When this host first heard of it.
+    /// When this host first learned of this incarnation at this address.
     pub(crate) known: Millis,
-    /// Value of the header that names the expected server.
+    /// Value of the request header that names the expected server.
     pub(crate) header: HeaderValue,
     pub(crate) pool: ServerPool,
+    /// Pacing of requests while the server warms up.
     pub(crate) cold: RefCell<ColdPace>,
-    /// When the server is warm, as far as is known.
+    /// End of the warm-up, as far as is known.
     pub(crate) cold_until: Cell<Millis>,
-    /// The rate of requests that the server takes, as its answers said.
+    /// Rate limit that the server's responses advertise.
     pub(crate) limit: Cell<ServerLimit>,
-    /// Requests that the server works on at a time.
+    /// Maximum number of concurrent requests.
     pub(crate) slots: Cell<u32>,
-    pub(crate) intake: Cell<Intake>,
-    /// Whether this host schedules the requests for it; `None` until that was looked at.
+    pub(crate) admission: Cell<Admission>,
+    /// Whether this host schedules the requests for the server; `None` until that is determined.
     pub(crate) ours: Cell<Option<bool>>,
 }
 
 impl Target {
-    /// Tells whether the server takes new work.
+    /// Returns whether the server accepts new requests without restriction.
     pub(crate) fn is_ready(&self) -> bool {
-        self.intake.get() == Intake::Open
+        self.admission.get() == Admission::Open
     }
 
-    /// Tells whether the server may get work now.
+    /// Returns whether the server may receive new requests now; a draining server may until its end time.
     pub(crate) fn may_get(&self, now: Millis) -> bool {
-        match self.intake.get() {
-            Intake::Open => true,
-            Intake::Until(end) => now < end,
-            Intake::Closed => false,
+        match self.admission.get() {
+            Admission::Open => true,
+            Admission::Draining(end) => now < end,
+            Admission::Closed => false,
         }
     }
 
-    /// Tells whether the server is cold.
+    /// Returns whether the server is warming up.
     pub(crate) fn is_cold(&self, now: Millis) -> bool {
         now < self.cold_until.get()
     }
 
-    /// Takes in what an answer said of the rate that the server takes, and logs where that is news.
+    /// Records the rate limit that a response advertised, and logs it if it changed.
     pub(crate) fn hear_limit(&self, now: Millis, notice: RateNotice) {
         let mut limit = self.limit.get();
         if limit.heard(now, notice) {
@@ -83,7 +84,7 @@
         self.limit.set(limit);
     }
 
-    /// Takes in how much longer the server stays cold.
+    /// Extends the warm-up to `left` from now; it is never shortened.
     pub(crate) fn cold_for(&self, now: Millis, left: Millis) {
         if left > Millis::ZERO {
             self.cold_until.set(self.cold_until.get().max(now + left));
@@ -91,7 +92,7 @@
     }
 }
 
-/// Returns until when a server that announced its leave at `since` may get work.
+/// Returns until when a server that began to drain at `since` may receive requests.
 pub(crate) fn drain_end(since: Millis, drain: Millis) -> Millis {
-    since + Millis(drain.0 / DRAIN_PART)
+    since + Millis(drain.0 / DRAIN_DIVISOR)
 }
--- a/crates/chicoryrail-router/src/state/view.rs
+++ b/crates/chicoryrail-router/src/state/view.rs
@@ -1,4 +1,4 @@
-//! What the store says, as far as this host has heard.
+//! The content of the store, as far as this host has read it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,68 +20,72 @@
 use chicoryrail_platform::read_config;
 use chicoryrail_platform::read_member;
 
-/// Time after the store's return in which the entries that lapsed while it was away come back. One that
-/// is missing after that is gone.
-const LAPSED_RETURN_TIME: Millis = Millis(2_000);
+/// Time after the store recovers from an outage in which servers can register again whose entries expired during the
+/// outage. An entry that is missing after that is removed.
+const REREGISTER_GRACE_TIME: Millis = Millis(2_000);
 
-/// A change of what is believed.
+/// A change of the view.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Belief {
-    /// Another configuration is in force.
+pub(crate) enum ViewChange {
+    /// Another configuration came into force.
     Config {
+        /// Version before; 0 if there was none.
         from: u64,
+        /// Version in force.
         to: u64,
-        /// Words in it that this program does not know.
+        /// Unknown values in the configuration, and what replaces them.
         unknown: Vec<DecodeError>,
     },
-    /// A configuration is not above the one in force.
+    /// A configuration is rejected because its version is below the one in force.
     OldConfig { version: u64, kept: u64 },
-    /// A data centre is taken out.
+    /// A data centre was taken out of service.
     TakenOut(DcName),
-    /// A data centre is taken back.
+    /// A data centre was returned to service.
     TakenBack(DcName),
     /// A server registered, or changed its entry.
     Server(ServerName),
-    /// A server's entry is gone.
+    /// A server's entry is gone: deleted, or overwritten with a value that can't be decoded.
     ServerGone(ServerName),
-    /// An entry can't be read; it names nothing, and the others hold.
+    /// An entry can't be decoded. It is ignored; all other entries stay in force.
     Unreadable(DecodeError),
-    /// A key of the system itself was written, or deleted.
+    /// One of the router's own keys was written or deleted.
     Own(String),
 }
 
-/// A server's entry, and since when.
+/// A server's entry, and when it changed.
 #[derive(Clone, Debug)]
-pub(crate) struct Registered {
+pub(crate) struct ServerEntry {
     pub(crate) member: Member,
-    /// Revision of the entry.
+    /// Revision of the entry in the store.
     pub(crate) revision: u64,
-    /// When this host heard of this revision.
-    pub(crate) heard: Millis,
-    /// When this host heard of the server's present state.
+    /// When this host read this revision.
+    pub(crate) updated: Millis,
+    /// When this host first read the server's current state.
     pub(crate) since: Millis,
-    /// When the entry went away; it still counts until the store has been back long enough.
+    /// When the entry disappeared. It still counts until [`View::expire`] removes it.
     pub(crate) missing: Option<Millis>,
 }
 
-/// A value of the system's own.
+/// A value that routers write themselves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OwnItem {
     pub(crate) value: Vec<u8>,
     pub(crate) revision: u64,
 }
 
-/// What the store says, as far as this host has heard.
+/// The content of the store, as far as this host has read it: the configuration, servers, drained data centres and the
+/// router's own keys.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     site: Option<Rc<Site>>,
-    out: BTreeSet<DcName>,
-    servers: BTreeMap<ServerName, Registered>,
+    taken_out: BTreeSet<DcName>,
+    servers: BTreeMap<ServerName, ServerEntry>,
     own: BTreeMap<String, OwnItem>,
+    /// Last revision of each entry that could not be decoded, by key.
     unreadable: BTreeMap<String, u64>,
-    /// Revisions up to which the parts of the store were heard.
-    heard: BTreeMap<Feed, u64>,
-    /// When the store answered again after an outage.
+    /// Revision up to which each feed was read.
+    revisions: BTreeMap<Feed, u64>,
+    /// When the store last recovered from an outage.
     back: Option<Millis>,
 }
 
@@ -91,22 +95,22 @@
         self.site.as_ref()
     }
 
-    /// Tells whether a data centre is taken out.
-    pub(crate) fn is_out(&self, dc: &DcName) -> bool {
-        self.out.contains(dc)
+    /// Returns whether a data centre is taken out of service.
+    pub(crate) fn is_taken_out(&self, dc: &DcName) -> bool {
+        self.taken_out.contains(dc)
     }
 
     /// Iterates over the servers' entries.
-    pub(crate) fn servers(&self) -> impl Iterator<Item = &Registered> {
+    pub(crate) fn servers(&self) -> impl Iterator<Item = &ServerEntry> {
         self.servers.values()
     }
 
-    /// Returns a value of the system's own.
+    /// Returns the value of one of the router's own keys.
     pub(crate) fn own(&self, key: &str) -> Option<&OwnItem> {
         self.own.get(key)
     }
 
-    /// Iterates over the values of the system's own whose keys start with the prefix.
+    /// Iterates over the router's own keys with the given prefix, and their values.
     pub(crate) fn own_below<'a>(
         &'a self,
         prefix: &'a str,
@@ -116,93 +120,93 @@
             .map(|(key, item)| (key.as_str(), item))
     }
 
-    /// Returns the revision up to which a part of the store was heard; `None` where it was not read yet.
+    /// Returns the revision up to which a feed was read; `None` if it was not read yet.
     pub(crate) fn heard(&self, feed: Feed) -> Option<u64> {
-        self.heard.get(&feed).copied()
+        self.revisions.get(&feed).copied()
     }
 
-    /// Takes in that a part was heard up to a revision.
+    /// Records that a feed was read up to a revision; the recorded revision never decreases.
     pub(crate) fn hear(&mut self, feed: Feed, revision: u64) {
-        let heard = self.heard.entry(feed).or_default();
-        *heard = revision.max(*heard);
+        let last = self.revisions.entry(feed).or_default();
+        *last = revision.max(*last);
     }
 
-    /// Returns the highest revision heard of, for the log.
+    /// Returns the highest revision read from any feed, for the log.
     pub(crate) fn revision(&self) -> u64 {
-        self.heard.values().copied().max().unwrap_or_default()
+        self.revisions.values().copied().max().unwrap_or_default()
     }
 
-    /// Takes in that the store answered again at `at` after an outage.
+    /// Records that the store recovered from an outage at `at`.
     pub(crate) fn store_back(&mut self, at: Millis) {
         self.back = self.back.max(Some(at));
     }
 
-    /// Returns when the store answered again after an outage.
+    /// Returns when the store last recovered from an outage.
     pub(crate) const fn back(&self) -> Option<Millis> {
         self.back
     }
 
-    /// Takes in everything that the store has of a part.
-    pub(crate) fn replace(&mut self, now: Millis, feed: Feed, all: &Snapshot) -> Vec<Belief> {
-        let mut told = Vec::new();
+    /// Replaces the content of a feed by a snapshot and returns the changes.
+    pub(crate) fn replace(&mut self, now: Millis, feed: Feed, all: &Snapshot) -> Vec<ViewChange> {
+        let mut changes = Vec::new();
         let keys = all.items.iter().map(|i| i.key.as_str());
         let present: BTreeSet<Subject> = keys.map(Subject::of).collect();
         for subject in self.subjects() {
             if feed.holds(&subject) && !present.contains(&subject) {
-                told.extend(self.gone(now, subject));
+                changes.extend(self.remove(now, subject));
             }
         }
         for item in &all.items {
-            told.extend(self.put(now, item));
+            changes.extend(self.put(now, item));
         }
         self.hear(feed, all.revision);
-        told
+        changes
     }
 
-    /// Returns what is known to be in the store, but for the configuration, which stays.
+    /// Returns the subjects of all known entries except the configuration, which stays in force if its key is deleted.
     fn subjects(&self) -> Vec<Subject> {
         let servers = self.servers.iter().filter(|(_, r)| r.missing.is_none());
         let servers = servers.map(|(name, _)| Subject::Server(name.clone()));
-        let out = self.out.iter().cloned().map(Subject::TakenOut);
+        let taken_out = self.taken_out.iter().cloned().map(Subject::TakenOut);
         let own = self.own.keys().cloned().map(Subject::Own);
-        servers.chain(out).chain(own).collect()
+        servers.chain(taken_out).chain(own).collect()
     }
 
-    /// Takes in a change.
-    pub(crate) fn apply(&mut self, now: Millis, change: &Change) -> Option<Belief> {
+    /// Applies a change of a feed.
+    pub(crate) fn apply(&mut self, now: Millis, change: &Change) -> Option<ViewChange> {
         match change {
             Change::Put(item) => self.put(now, item),
-            Change::Gone { key, .. } => self.gone(now, Subject::of(key)),
+            Change::Gone { key, .. } => self.remove(now, Subject::of(key)),
         }
     }
 
-    fn gone(&mut self, now: Millis, subject: Subject) -> Option<Belief> {
+    fn remove(&mut self, now: Millis, subject: Subject) -> Option<ViewChange> {
         match subject {
-            Subject::Server(name) => self.server_missing(now, name),
+            Subject::Server(name) => self.mark_missing(now, name),
             Subject::TakenOut(dc) => {
-                let was = self.out.remove(&dc);
-                was.then_some(Belief::TakenBack(dc))
+                let was = self.taken_out.remove(&dc);
+                was.then_some(ViewChange::TakenBack(dc))
             }
             Subject::Own(key) => {
                 let was = self.own.remove(&key);
-                was.map(|_| Belief::Own(key))
+                was.map(|_| ViewChange::Own(key))
             }
             Subject::Config | Subject::Foreign => None,
         }
     }
 
-    /// Takes the entries off that went missing and have had their time to come back; returns their names.
+    /// Removes the servers whose entries are missing and whose grace time is over, and returns their names.
     pub(crate) fn expire(&mut self, now: Millis) -> Vec<ServerName> {
         let back = self.back;
-        let is_gone = |r: &Registered| {
+        let is_gone = |r: &ServerEntry| {
             let Some(missing) = r.missing else {
                 return false;
             };
-            // Entries lapse while the store is away: in the time around an outage a missing entry says
-            // nothing yet. At any other time it says that the server has left.
+            // Entries expire while the store is down, so a missing entry proves nothing until the
+            // grace time after an outage is over. At any other time it means that the server has left.
             match back {
-                Some(back) if missing < back + LAPSED_RETURN_TIME => {
-                    now >= back + LAPSED_RETURN_TIME
+                Some(back) if missing < back + REREGISTER_GRACE_TIME => {
+                    now >= back + REREGISTER_GRACE_TIME
                 }
                 _ => true,
             }
@@ -215,18 +219,18 @@
         gone
     }
 
-    fn server_missing(&mut self, now: Millis, name: ServerName) -> Option<Belief> {
+    fn mark_missing(&mut self, now: Millis, name: ServerName) -> Option<ViewChange> {
         let entry = self.servers.get_mut(&name)?;
         entry.missing.get_or_insert(now);
-        Some(Belief::ServerGone(name))
+        Some(ViewChange::ServerGone(name))
     }
 
-    fn put(&mut self, now: Millis, item: &Item) -> Option<Belief> {
+    fn put(&mut self, now: Millis, item: &Item) -> Option<ViewChange> {
         match Subject::of(&item.key) {
             Subject::Config => self.put_config(item),
             Subject::TakenOut(dc) => {
-                let new = self.out.insert(dc.clone());
-                new.then_some(Belief::TakenOut(dc))
+                let new = self.taken_out.insert(dc.clone());
+                new.then_some(ViewChange::TakenOut(dc))
             }
             Subject::Server(name) => self.put_server(now, name, item),
             Subject::Own(key) => self.put_own(key, item),
@@ -234,7 +238,7 @@
         }
     }
 
-    fn put_config(&mut self, item: &Item) -> Option<Belief> {
+    fn put_config(&mut self, item: &Item) -> Option<ViewChange> {
         let ConfigEntry { site, unknown } = match read_config(&item.value) {
             Ok(entry) => entry,
             Err(e) => return self.unreadable(item, e),
@@ -242,7 +246,7 @@
         let from = self.site.as_ref().map_or(0, |s| s.version);
         if site.version < from {
             let version = site.version;
-            return Some(Belief::OldConfig {
+            return Some(ViewChange::OldConfig {
                 version,
                 kept: from,
             });
@@ -252,10 +256,10 @@
         }
         let to = site.version;
         self.site = Some(Rc::new(site));
-        Some(Belief::Config { from, to, unknown })
+        Some(ViewChange::Config { from, to, unknown })
     }
 
-    fn put_server(&mut self, now: Millis, name: ServerName, item: &Item) -> Option<Belief> {
+    fn put_server(&mut self, now: Millis, name: ServerName, item: &Item) -> Option<ViewChange> {
         let old = self.servers.get(&name);
         if old.is_some_and(|o| o.revision >= item.revision && o.missing.is_none()) {
             return None;
@@ -263,27 +267,27 @@
         let member = match read_member(&name, &item.value) {
             Ok(member) => member,
             Err(e) => {
-                // What another writer left in place of the entry names no server to use.
-                let missing = self.server_missing(now, name);
+                // The entry was overwritten with a value that can't be decoded: the old entry no longer holds.
+                let missing = self.mark_missing(now, name);
                 return self.unreadable(item, e).or(missing);
             }
         };
-        let same = |o: &&Registered| {
+        let same = |o: &&ServerEntry| {
             o.member.life == member.life && o.member.state == member.state && o.missing.is_none()
         };
         let since = old.filter(same).map_or(now, |o| o.since);
-        let entry = Registered {
+        let entry = ServerEntry {
             member,
             revision: item.revision,
-            heard: now,
+            updated: now,
             since,
             missing: None,
         };
         self.servers.insert(name.clone(), entry);
-        Some(Belief::Server(name))
+        Some(ViewChange::Server(name))
     }
 
-    fn put_own(&mut self, key: String, item: &Item) -> Option<Belief> {
+    fn put_own(&mut self, key: String, item: &Item) -> Option<ViewChange> {
         let old = self.own.get(&key);
         if old.is_some_and(|o| o.revision >= item.revision) {
             return None;
@@ -293,18 +297,18 @@
             revision: item.revision,
         };
         self.own.insert(key.clone(), entry);
-        Some(Belief::Own(key))
+        Some(ViewChange::Own(key))
     }
 
-    /// Tells of an entry that can't be read, once for each revision of it.
-    fn unreadable(&mut self, item: &Item, error: DecodeError) -> Option<Belief> {
+    /// Reports an entry that can't be decoded, once per revision of the entry.
+    fn unreadable(&mut self, item: &Item, error: DecodeError) -> Option<ViewChange> {
         let last = self.unreadable.insert(item.key.clone(), item.revision);
-        (last != Some(item.revision)).then_some(Belief::Unreadable(error))
+        (last != Some(item.revision)).then_some(ViewChange::Unreadable(error))
     }
 }
 
-impl Registered {
-    /// Tells whether the server takes new work.
+impl ServerEntry {
+    /// Returns whether the server's registration says that it accepts new requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.member.state == MemberState::Ready
     }
--- a/crates/chicoryrail-router/src/talk/compression.rs
+++ b/crates/chicoryrail-router/src/talk/compression.rs
@@ -10,24 +10,26 @@
 
 use crate::talk::codec::MESSAGE_MEMORY_MAX;
 
-/// Name of the compression in the headers of HTTP.
+/// Name of the compression in HTTP headers.
 pub(crate) const ENCODING: &str = "lz4";
 
-/// Length of a message from which on it is compressed: a shorter one takes one or two packets either way.
+/// Minimum length of messages that are compressed, in bytes: a shorter one takes one or two packets either way.
 const COMPRESSED_BYTES_MIN: usize = 2 << 10;
 
 /// Why a message can't be decompressed.
 #[derive(Debug, Snafu)]
 pub(crate) enum DecompressionError {
-    /// It claims more memory than any message takes.
-    #[snafu(display("it claims {claimed} bytes, more than {MESSAGE_MEMORY_MAX}"))]
+    /// The message claims a decompressed length above [`MESSAGE_MEMORY_MAX`].
+    #[snafu(display(
+        "claimed length of {claimed} bytes exceeds the maximum of {MESSAGE_MEMORY_MAX}"
+    ))]
     TooLong { claimed: usize },
-    /// It is no compressed message.
+    /// The bytes are not valid compressed data.
     #[snafu(display("{source}"))]
     Broken { source: DecompressError },
 }
 
-/// Compresses a message; `None` where it is short.
+/// Compresses a message; `None` if it is shorter than [`COMPRESSED_BYTES_MIN`].
 pub(crate) fn compress(message: &[u8]) -> Option<Vec<u8>> {
     (message.len() >= COMPRESSED_BYTES_MIN).then(|| compress_prepend_size(message))
 }
@@ -36,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the bytes are no compressed message.
+/// Returns why the bytes can't be decompressed.
 pub(crate) fn decompress(bytes: &[u8]) -> Result<Vec<u8>, DecompressionError> {
     let (claimed, block) = uncompressed_size(bytes).context(BrokenSnafu)?;
     ensure!(claimed <= MESSAGE_MEMORY_MAX, TooLongSnafu { claimed });
--- a/crates/chicoryrail-router/src/talk/mod.rs
+++ b/crates/chicoryrail-router/src/talk/mod.rs
@@ -1,7 +1,7 @@
-//! Datagrams between hosts: their format and the socket.
+//! Messages between hosts: their format, and the socket for datagrams.
 //!
-//! They carry what must be known within milliseconds, or while the store is away. A lost one is made good
-//! by the next, or by its sender's time limit.
+//! Datagrams carry what other hosts need within milliseconds, or while the store is down. A lost datagram is
+//! superseded by the next one, or its sender times out.
 
 mod codec;
 mod compression;
@@ -39,4 +39,4 @@
 pub(crate) use relay_message::KeyMap;
 pub(crate) use relay_message::RelayReply;
 pub(crate) use relay_message::RelayRequest;
-pub(crate) use socket::Talk;
+pub(crate) use socket::PeerSocket;
--- a/crates/chicoryrail-router/src/talk/packet.rs
+++ b/crates/chicoryrail-router/src/talk/packet.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other.
+//! Datagrams between hosts.
 
 use std::collections::BTreeSet;
 
@@ -19,76 +19,79 @@
 use crate::talk::QuotaGrants;
 use crate::talk::QuotaReports;
 
-/// A datagram.
+/// A datagram between hosts.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) enum Packet {
-    /// What a host knows.
+    /// State of a core host, sent to the other core hosts at intervals and with each key update.
     Heartbeat(Heartbeat),
-    /// How much the servers do for which a host schedules, for the leader.
+    /// Slowness of the servers that a host schedules, for the leader.
     Paces(Vec<ServerPace>),
-    /// Keys that callers asked for, for the leader.
+    /// Keys of recent requests, for the leader.
     KeyDemand(Vec<KeyDemand>),
-    /// A request asks the host that schedules for its server.
+    /// Asks a scheduler for a slot at a server.
     SlotQuery(SlotQuery),
-    /// The host that schedules says what becomes of a request.
+    /// Decision of a scheduler on a slot query.
     SlotReply { ticket: u64, reply: SlotReply },
-    /// A request at a server has ended.
+    /// Reports to the scheduler that a request at a server has ended.
     SlotEnd(SlotEnd),
-    /// The caller of a request that asked has left.
+    /// Withdraws a slot query, because the caller has disconnected.
     Leave { part: PartName, ticket: u64 },
     /// Free slots of the parts that a host schedules.
     Rooms(Vec<PartRoom>),
-    /// A host that schedules tells the leader how it uses organisations' limits.
+    /// Use of organisations' rate limits by a scheduler, for the leader.
     QuotaReports(QuotaReports),
-    /// The leader gives tokens of organisations' limits.
+    /// Rate-limit tokens of organisations, granted by the leader.
     QuotaGrants(QuotaGrants),
 }
 
-/// What a host knows.
+/// State of a host, as it sees itself.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct Heartbeat {
     pub(crate) host: HostName,
     pub(crate) dc: DcName,
-    /// Highest term of leadership that it knows.
+    /// Highest leadership term that the host knows.
     pub(crate) term: u64,
-    /// Whether it leads in that term itself.
+    /// Whether the host leads in that term.
     pub(crate) leads: bool,
-    /// Whether the store answers it.
+    /// Whether the store answers the host.
     pub(crate) store: bool,
-    /// Data centres whose servers answer it.
+    /// Data centres whose servers answer the host.
     pub(crate) reaches: BTreeSet<DcName>,
-    /// Thousandths of a core that it has to lead with.
+    /// CPU capacity for leading and scheduling, in thousandths of a core; reduced if the link is slow.
     pub(crate) power: u32,
-    /// Whether it schedules requests for servers.
+    /// Whether the host schedules requests for servers.
     pub(crate) schedules: bool,
-    /// Whether it watches the store itself.
+    /// Whether the host watches the store itself.
     pub(crate) watches: bool,
-    /// Leaf hosts that follow it.
+    /// Number of leaf hosts that use the host as relay.
     pub(crate) leaves: u32,
+    /// Key assignments of the keyed services; empty unless the host leads.
     pub(crate) keys: Vec<KeyUpdate>,
 }
 
-/// Who holds the keys of a service, as the leader knows it.
+/// Key assignment of a service, as the leader knows it.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct KeyUpdate {
     pub(crate) service: ServiceName,
+    /// Fencing token of the assignment.
     pub(crate) fence: u64,
-    /// Who is to hold what; not sent again with each heartbeat.
+    /// Assigned owners; sent only with a new fencing token, and again after a number of heartbeats.
     pub(crate) ranges: Option<KeyRanges>,
-    /// First and last key of what is not granted yet.
+    /// First and last key of each range that is not granted yet.
     pub(crate) blocked: Vec<(u16, u16)>,
 }
 
-/// Who is to hold which keys. A server has several ranges, and its name, the longest part of each, is written once.
+/// Key ranges and their assigned owners. A server can own several ranges, and its name, the longest part of each, is
+/// encoded only once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct KeyRanges {
     owners: Vec<Life>,
-    /// First key, last key, owner by its place in the list.
+    /// First key, last key, and index of the owner in `owners`.
     ranges: Vec<(u16, u16, u32)>,
 }
 
 impl KeyRanges {
-    /// Packs ranges.
+    /// Builds the compact form of owned ranges.
     pub(crate) fn pack(spans: &[OwnedRange]) -> Self {
         let mut owners: Vec<Life> = spans.iter().map(|s| s.owner.clone()).collect();
         owners.sort();
@@ -101,7 +104,7 @@
         Self { owners, ranges }
     }
 
-    /// Unpacks the ranges into a record; one that names no owner of the list is left out.
+    /// Converts the ranges to a record with this fencing token; ranges with an invalid owner index are skipped.
     pub(crate) fn to_record(&self, fence: u64) -> KeyRecord {
         let ranges = self.ranges.iter().filter_map(|(first, last, at)| {
             let owner = self.owners.get(*at as usize)?.clone();
@@ -116,78 +119,81 @@
     }
 }
 
-/// Keys of a service that were asked for.
+/// Keys of recent requests for a service.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct KeyDemand {
     pub(crate) service: ServiceName,
     pub(crate) keys: Vec<u16>,
 }
 
-/// A request that asks for a server; lengths of time in milliseconds from the sending.
+/// A query for a slot at a server. Times are in milliseconds, relative to the time of sending, unless noted otherwise.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct SlotQuery {
-    /// Data centre of the host that asks.
+    /// Data centre of the host that sends the query.
     pub(crate) dc: DcName,
     pub(crate) part: PartName,
-    /// Whether another part had no room for it and sent it here.
+    /// Whether another part had no free slot and redirected the request here.
     pub(crate) overflows: bool,
     pub(crate) ticket: u64,
-    /// Id that the caller gave, for the log.
+    /// Request id from the caller, for the log.
     pub(crate) id: String,
     pub(crate) key: Option<u16>,
+    /// Priority of the request.
     pub(crate) rank: u8,
-    /// Organisation of whose limit it needs a token; `None` where it has no limit, or the request has a token.
+    /// Organisation of whose rate limit the request needs a token; `None` if the organisation has no limit, or the
+    /// request already has a token.
     pub(crate) organisation: Option<OrganisationName>,
-    /// Time left for an answer that is worth most.
+    /// Time left until the latency target.
     pub(crate) aim: u64,
-    /// Time left for any answer.
+    /// Time left until the deadline.
     pub(crate) left: u64,
-    /// How long a usual server works on it, in microseconds.
+    /// Expected service time at an average server, in microseconds.
     pub(crate) work_us: u64,
-    /// Whether its answer is large.
+    /// Whether a large response is expected.
     pub(crate) large: bool,
-    /// Servers that had it before.
+    /// Servers that earlier attempts were sent to.
     pub(crate) not: Vec<Life>,
 }
 
-/// What becomes of a request.
+/// Decision of a scheduler on a slot query.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum SlotReply {
-    /// It waits at the scheduler.
+    /// The request is queued at the scheduler.
     Waits,
-    /// It is to be sent to this server.
+    /// The request has a slot at this server.
     Send(Life),
-    /// Its key went to a server for which another host schedules: that one is to be asked.
+    /// The request's key moved to a server that another host schedules; the query must be sent to that host.
     Elsewhere,
-    /// The part of the service in this data centre has room for it, and is to be asked.
+    /// The part of the service in this data centre has a free slot; the query must be sent to its scheduler.
     Overflow(DcName),
-    /// It is refused; there may be room after so many milliseconds.
+    /// The request is refused; capacity may be available after this many milliseconds.
     Refuse(u64),
-    /// Its organisation is beyond its limit; there may be a token after so many milliseconds.
+    /// The request's organisation exceeds its rate limit; a token may be available after this many milliseconds.
     OverQuota(u64),
 }
 
-/// How a request at a server ended.
+/// The end of a request at a server, reported to its scheduler.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct SlotEnd {
     pub(crate) part: PartName,
     pub(crate) ticket: u64,
     pub(crate) server: Life,
-    /// Time to the answer in microseconds; `None` where the caller left before.
+    /// Time to the response in microseconds; `None` if the caller disconnected before it.
     pub(crate) us: Option<u64>,
     pub(crate) kind: SlotEndKind,
-    /// Running, waiting, slots and pace that the server told.
+    /// Load that the server advertised: running requests, waiting requests, slots, and slowdown (current service
+    /// time in percent of the usual one).
     pub(crate) report: Option<(u32, u32, u32, u32)>,
-    /// The rate that the server takes; `None` where its answer did not tell.
+    /// Rate limit that the server advertised; `None` if its response had none.
     pub(crate) rate: Option<SaidRate>,
 }
 
-/// The rate of requests that a server takes from all hosts together.
+/// Rate limit that a server advertises for the requests of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub(crate) enum SaidRate {
-    /// Any.
+    /// No limit.
     Unlimited,
-    /// So many a second.
+    /// Requests per second.
     Limited(f64),
 }
 
@@ -209,27 +215,28 @@
     }
 }
 
-/// How much a server does.
+/// Slowness and rate limit of a server, as its scheduler knows them.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct ServerPace {
     pub(crate) server: Life,
-    /// Time that work takes, relative to a usual server: above 1 is slower.
+    /// Slowness: service time relative to an average server; above 1 is slower.
     pub(crate) speed: f32,
-    /// Usual slots that do as much work as its limit lets through; `None` where it names none.
+    /// Number of slots at an average server that process as much as the server's advertised rate limit admits; `None`
+    /// if it advertises none.
     pub(crate) limited_slots: Option<f32>,
 }
 
-/// How a request at a server ended.
+/// Result of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum SlotEndKind {
-    /// With an answer, or without the server's state.
+    /// The server answered, or the end says nothing about the server's state.
     Plain,
-    /// The server had no room.
+    /// The server had no free slot.
     Full,
-    /// The connection failed, or what came was no answer.
+    /// The connection failed, or the response was invalid.
     Broken,
-    /// The server answered that it failed.
+    /// The server responded that the request failed.
     Error,
-    /// No answer came in time.
+    /// The server did not respond in time.
     Silent,
 }
--- a/crates/chicoryrail-router/src/talk/part.rs
+++ b/crates/chicoryrail-router/src/talk/part.rs
@@ -1,20 +1,21 @@
-//! The part of a service that one host schedules.
+//! Parts of services: the scheduling partitions.
 
 use bincode::Decode;
 use bincode::Encode;
 use chicoryrail_core::DcName;
 use chicoryrail_core::ServiceName;
 
-/// The part of a service that one host schedules, among others.
+/// Name of a part: a scheduling partition of a service, whose requests one host schedules. It has all servers of the
+/// service, or those of one data centre.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub(crate) struct PartName {
     pub(crate) service: ServiceName,
-    /// Data centre of its servers; `None` where the service is not divided, or keyed.
+    /// Data centre of the part's servers; `None` if the service is keyed or not divided.
     pub(crate) dc: Option<DcName>,
 }
 
 impl PartName {
-    /// Names all of a service.
+    /// Returns the name of the part that has all servers of a service.
     pub(crate) fn whole(service: &ServiceName) -> Self {
         Self {
             service: service.clone(),
@@ -22,13 +23,13 @@
         }
     }
 
-    /// Tells whether the servers of a data centre belong to it.
+    /// Returns whether the servers of a data centre belong to the part.
     pub(crate) fn has(&self, dc: &DcName) -> bool {
         self.dc.as_ref().is_none_or(|own| own == dc)
     }
 }
 
-/// Free slots of a part, for the other parts' overflow.
+/// Number of free slots of a part, to which other parts of the service can redirect requests.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct PartRoom {
     pub(crate) part: PartName,
--- a/crates/chicoryrail-router/src/talk/quota_message.rs
+++ b/crates/chicoryrail-router/src/talk/quota_message.rs
@@ -1,4 +1,4 @@
-//! What hosts that schedule and the leader exchange on organisations' limits.
+//! Messages on organisations' rate limits between schedulers and the leader.
 
 use bincode::Decode;
 use bincode::Encode;
@@ -7,16 +7,17 @@
 use chicoryrail_policy::QuotaGrant;
 use chicoryrail_policy::QuotaReport;
 
-/// What a host that schedules says of its tokens.
+/// Report of a scheduler on its rate-limit tokens.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct QuotaReports {
     pub(crate) host: HostName,
-    /// Whether it spends its own part of each limit, since the leader did not answer it for a while.
+    /// Whether the host is standalone: it spends its own share of each limit, because the leader has stopped answering
+    /// it.
     pub(crate) lone: bool,
     pub(crate) reports: Vec<(OrganisationName, QuotaReport)>,
 }
 
-/// Tokens that the leader gives to a host.
+/// Rate-limit tokens that the leader grants to a host.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct QuotaGrants {
     /// Term of the leader.
--- a/crates/chicoryrail-router/src/talk/relay_message.rs
+++ b/crates/chicoryrail-router/src/talk/relay_message.rs
@@ -1,4 +1,4 @@
-//! What a host asks of the one that it follows, and the reply.
+//! Requests to a relay, a host that passes on the content of the store, and its replies.
 
 use std::net::SocketAddr;
 
@@ -11,79 +11,85 @@
 
 use crate::talk::KeyRanges;
 
-/// Parts of the store that are relayed.
+/// Number of feeds of the store that are relayed.
 pub(crate) const FEED_COUNT: usize = 3;
 
-/// What a host has heard, so that it is sent the rest.
+/// A poll for updates: what the host already has.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct RelayRequest {
     pub(crate) host: HostName,
-    /// Whether it is a leaf host.
+    /// Whether the requesting host is a leaf host.
     pub(crate) leaf: bool,
-    /// Whether it believes that the store answers.
+    /// Whether the store is available, as far as the requesting host knows.
     pub(crate) store: bool,
-    /// Revisions up to which it has heard the parts of the store.
+    /// Revision up to which the host has read each feed; `None` if it has not read the feed yet.
     pub(crate) revisions: [Option<u64>; FEED_COUNT],
-    /// Key maps that it has.
+    /// Key maps that the host has.
     pub(crate) fences: Vec<KeyFence>,
 }
 
-/// Which key map of a service a host has.
+/// Fencing token of the key map that a host has for a service.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct KeyFence {
     pub(crate) service: ServiceName,
     pub(crate) fence: u64,
 }
 
-/// What a host has not heard yet.
+/// Updates that the requesting host does not have yet, and the relay's view of the other hosts and the store.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct RelayReply {
-    /// News of the parts of the store.
+    /// Updates of each feed of the store; `None` if there are none.
     pub(crate) news: [Option<FeedNews>; FEED_COUNT],
+    /// Key maps newer than those of the requesting host.
     pub(crate) keys: Vec<KeyMap>,
-    /// The core hosts that were heard lately.
+    /// Core hosts that the relay recently received heartbeats from.
     pub(crate) core: Vec<CoreState>,
-    /// The most hosts ever known.
+    /// Highest number of hosts that the relay ever knew at a time.
     pub(crate) hosts: u32,
+    /// Highest leadership term that the relay knows.
     pub(crate) term: u64,
     pub(crate) leader: Option<HostName>,
-    /// Time since the leader was heard, in milliseconds.
+    /// Time since the last heartbeat of the leader, in milliseconds.
     pub(crate) leader_ms: Option<u64>,
     /// Whether the store answers the relay.
     pub(crate) store: bool,
-    /// Time since it answered again after an outage, in milliseconds.
+    /// Time since the store recovered from an outage, in milliseconds.
     pub(crate) back_ms: Option<u64>,
-    /// How old the relay's configuration may be.
+    /// Age of the relay's configuration; `None` if it was never verified to be current.
     pub(crate) config: Option<ConfigAge>,
 }
 
-/// How old a relay's configuration may be, in milliseconds.
+/// Time since a relay's configuration was verified to be current, in milliseconds.
 #[derive(Clone, Copy, Debug, Encode, Decode)]
 pub(crate) struct ConfigAge {
     /// Age when the reply was written.
     pub(crate) age_ms: u64,
-    /// Time for which the request had waited by then. Whoever sent it knows that the reply is no older than that
-    /// long after the sending.
+    /// Time from the arrival of the request until the reply was written. The requesting host can rely on it that the
+    /// reply was written no earlier than this time after it sent the request.
     pub(crate) held_ms: u64,
 }
 
-/// Who is to hold the keys of a service.
+/// Assigned owners of the keys of a service.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct KeyMap {
     pub(crate) service: ServiceName,
+    /// Fencing token of the assignment.
     pub(crate) fence: u64,
     pub(crate) ranges: KeyRanges,
 }
 
-/// What a relay knows of a core host.
+/// State of a core host, as a relay knows it.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct CoreState {
     pub(crate) host: HostName,
     pub(crate) addr: SocketAddr,
     pub(crate) dc: Option<DcName>,
+    /// CPU capacity for leading and scheduling, in thousandths of a core.
     pub(crate) power: u32,
+    /// Whether the host schedules requests for servers.
     pub(crate) schedules: bool,
-    /// Whether the store answers it.
+    /// Whether the store answers the host.
     pub(crate) store: bool,
+    /// Whether the host watches the store itself.
     pub(crate) watches: bool,
 }
--- a/crates/chicoryrail-router/src/talk/socket.rs
+++ b/crates/chicoryrail-router/src/talk/socket.rs
@@ -1,4 +1,4 @@
-//! The socket between hosts.
+//! UDP socket for messages between hosts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,39 +11,39 @@
 use crate::talk::decode;
 use crate::talk::encode;
 
-/// Bytes of a datagram that is read: as long as one can be. What is sent stays below what one packet carries, but
-/// for a long list of ranges. One that is cut off can't be read, and its host would go on by old ranges.
-const DATAGRAM_BYTES_MAX: usize = 64 << 10;
+/// Size of the receive buffer: the maximum size of a datagram. Messages fit one network packet, except long lists of
+/// key ranges. A truncated list can't be decoded, and its receiver would continue with outdated ranges.
+const RECEIVE_BUFFER_BYTES: usize = 64 << 10;
 
-/// Longest datagram that can be sent over IPv4.
+/// Maximum payload of a datagram over IPv4.
 const PAYLOAD_BYTES_MAX: usize = 65_507;
 
-/// Pause after a read that failed.
+/// Delay after a failed read.
 const READ_RETRY_INTERVAL: Millis = Millis(100);
 
-/// The socket between hosts.
+/// UDP socket for messages between hosts.
 #[derive(Debug)]
-pub(crate) struct Talk {
+pub(crate) struct PeerSocket {
     socket: UdpSocket,
 }
 
-impl Talk {
+impl PeerSocket {
     /// Binds the socket.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the operating system's error.
     pub(crate) fn bind(addr: SocketAddr) -> io::Result<Rc<Self>> {
         let socket = UdpSocket::bind(addr)?;
         Ok(Rc::new(Self { socket }))
     }
 
-    /// Sends a datagram; one that can't be sent is like one that was lost.
+    /// Sends a datagram. A failure is only logged: to the receiver it looks like a lost datagram.
     pub(crate) async fn send(&self, packet: &Packet, addr: SocketAddr) {
         self.send_all(packet, &[addr]).await;
     }
 
-    /// Sends the same datagram to several hosts; it is encoded once.
+    /// Sends the same datagram to several hosts, encoding it only once.
     pub(crate) async fn send_all(&self, packet: &Packet, addrs: &[SocketAddr]) {
         let Ok(mut bytes) = encode(packet) else {
             return;
@@ -53,26 +53,26 @@
             return;
         }
         for addr in addrs {
-            let (result, back) = self.socket.send_to(bytes, *addr).await;
-            bytes = back;
+            let (result, returned) = self.socket.send_to(bytes, *addr).await;
+            bytes = returned;
             if let Err(e) = result {
                 log::debug!(addr:% = addr, error:% = e; "talk_send");
             }
         }
     }
 
-    /// Sends a datagram in a task of its own.
+    /// Spawns a task that sends a datagram.
     pub(crate) fn post(self: &Rc<Self>, packet: Packet, addr: SocketAddr) {
-        let own = Rc::clone(self);
-        monoio::spawn(async move { own.send(&packet, addr).await });
+        let socket = Rc::clone(self);
+        monoio::spawn(async move { socket.send(&packet, addr).await });
     }
 
-    /// Hands what others send to `take`.
-    pub(crate) async fn listen(self: Rc<Self>, take: impl Fn(Packet, SocketAddr)) {
-        let mut buffer = vec![0_u8; DATAGRAM_BYTES_MAX];
+    /// Receives datagrams forever and passes each with its sender's address to `handle`.
+    pub(crate) async fn listen(self: Rc<Self>, handle: impl Fn(Packet, SocketAddr)) {
+        let mut buffer = vec![0_u8; RECEIVE_BUFFER_BYTES];
         loop {
-            let (result, back) = self.socket.recv_from(buffer).await;
-            buffer = back;
+            let (result, returned) = self.socket.recv_from(buffer).await;
+            buffer = returned;
             let (n, from) = match result {
                 Ok(read) => read,
                 Err(e) => {
@@ -82,7 +82,7 @@
                 }
             };
             match decode(&buffer[..n]) {
-                Ok(packet) => take(packet, from),
+                Ok(packet) => handle(packet, from),
                 Err(e) => log::warn!(from:% = from, error:% = e; "talk_unreadable"),
             }
         }
