--- a/crates/chicoryrail-router/tests/slow_links.rs
+++ b/crates/chicoryrail-router/tests/slow_links.rs
@@ -1,4 +1,5 @@
-//! Hosts on slow links: what they hear from the store and from others takes longer than a call to a near host.
+//! Hosts on slow links: replies of the store and of other hosts take longer to arrive than the timeout of a call to a
+//! nearby host.
 
 mod support;
 
@@ -14,13 +15,13 @@
 use support::World;
 use support::wait_until;
 
-/// Bytes a second of a link on which a large configuration takes over a second, as the store sends it, and as a relay
-/// does.
-const STORE_LINK: u64 = 250_000;
-const RELAY_LINK: u64 = 25_000;
+/// Link speeds in bytes per second at which the transfer of a large configuration takes over a second: one for the
+/// store's encoding, one for the relay's.
+const STORE_LINK_RATE: u64 = 250_000;
+const RELAY_LINK_RATE: u64 = 25_000;
 
-/// Routes of a large configuration.
-const MANY_ROUTES: usize = 2_000;
+/// Additional routes of a large configuration.
+const EXTRA_ROUTES: usize = 2_000;
 
 fn slow_link(net: &mut Net, to: SocketAddr, rate: u64) -> Link {
     let link = net.link_anywhere("slow", to).unwrap();
@@ -31,7 +32,7 @@
     link
 }
 
-async fn serves(router: &RouterProcess) {
+async fn wait_until_serving(router: &RouterProcess) {
     wait_until("the configuration is in force", async || {
         let answer = router.caller().get("/read/1").await;
         answer.is_ok_and(|a| a.status() == 200)
@@ -39,38 +40,40 @@
     .await;
 }
 
-/// A host that watches the store is served an older configuration for good, and takes the store for lost.
+/// Guards against a host that watches the store and times out while a large configuration arrives: it would keep an older
+/// configuration for good, and treat the store as lost.
 #[test]
 fn a_large_configuration_comes_from_the_store_over_a_slow_link() {
     block_on(async {
         let world = World::start("slow-store").await;
-        world.configure_large(MANY_ROUTES).await;
+        world.configure_large(EXTRA_ROUTES).await;
         world.server("i-1", "desk").await;
         let mut net = Net::start(1);
-        let link = slow_link(&mut net, world.store_addr(), STORE_LINK);
+        let link = slow_link(&mut net, world.store_addr(), STORE_LINK_RATE);
         let host = world.spawn_weak_at("a", link.addr());
-        serves(&host).await;
+        wait_until_serving(&host).await;
         assert!(!host.log().contains("log=store_lost"), "{}", host.log());
     });
 }
 
-/// A weak host gives up each relay before the reply is in, and asks the next one for everything again.
+/// Guards against a leaf host that abandons each relay before the reply has arrived completely, and requests everything
+/// again from the next one.
 #[test]
 fn a_large_configuration_comes_from_a_relay_over_a_slow_link() {
     block_on(async {
         let world = World::start("slow-relay").await;
-        world.configure_large(MANY_ROUTES).await;
+        world.configure_large(EXTRA_ROUTES).await;
         world.server("i-1", "desk").await;
         let mut core = Vec::new();
         for name in ["a", "b", "c"] {
             core.push(world.router(name).await);
         }
-        // Another store, which lists the core hosts by their slow links and has no configuration.
+        // A second store, which lists the core hosts at the addresses of their slow links and has no configuration.
         let lists = World::start("slow-relay-list").await;
         let mut net = Net::start(1);
         let mut links = Vec::new();
         for (name, host) in ["a", "b", "c"].into_iter().zip(&core) {
-            let link = slow_link(&mut net, host.talk, RELAY_LINK);
+            let link = slow_link(&mut net, host.talk, RELAY_LINK_RATE);
             let listed = CoreHost {
                 addr: link.addr(),
                 power: 500,
@@ -81,7 +84,7 @@
                 .await;
         }
         let leaf = world.spawn_weak_at("leaf", lists.store_addr());
-        serves(&leaf).await;
+        wait_until_serving(&leaf).await;
         let log = leaf.log();
         assert!(!log.contains("log=relay_failed"), "{log}");
         assert!(!log.contains("source=Store"), "{log}");
--- a/crates/chicoryrail-router/tests/support/mod.rs
+++ b/crates/chicoryrail-router/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The real process between a stand-in of the platform's store and stand-ins of its servers.
+//! Test environment: real router processes between a simulated platform store and simulated servers.
 #![allow(dead_code, unreachable_pub, unused_imports)]
 
 mod server;
--- a/crates/chicoryrail-router/tests/support/server.rs
+++ b/crates/chicoryrail-router/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! A server of the platform in the test's own process.
+//! A simulated server that runs in the test process.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,33 +15,33 @@
 use chicoryrail_testkit::TargetServer;
 use http::Request;
 
-/// Length of a fault that lasts as long as the test.
-const ALWAYS: u64 = 600_000;
+/// Duration of a fault that lasts until the end of the test.
+const FAULT_MS: u64 = 600_000;
 
-/// Longest time for a call past the router.
-const LIMIT: Millis = Millis(10_000);
+/// Timeout of a call that bypasses the router.
+const CALL_TIMEOUT: Millis = Millis(10_000);
 
-/// Service time of a server that is not slow.
-const WORK: Millis = Millis(1);
+/// Default service time.
+const SERVICE_TIME: Millis = Millis(1);
 
-/// What a server does with a request that it takes.
+/// How a server handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Runs it and answers.
+    /// Runs the request and responds.
     Answer,
-    /// Refuses it without running it.
+    /// Refuses the request without running it.
     Refuse,
-    /// Runs it and answers that it failed.
+    /// Runs the request and responds that it failed.
     Fail,
-    /// Runs it and closes the connection without an answer.
+    /// Runs the request and closes the connection without a response.
     LoseAnswer,
-    /// Runs it and answers with the id of another request.
+    /// Runs the request and responds with the id of another request.
     Cross,
-    /// Runs it and answers without its mark.
+    /// Runs the request and responds without the stamp that identifies the server.
     Unmarked,
 }
 
-/// A server that remembers what it ran.
+/// A server that records the requests that it ran.
 pub struct Server {
     pub name: String,
     pub addr: SocketAddr,
@@ -55,7 +55,7 @@
         let addr = listener.addr().unwrap();
         let name = options.name.to_string();
         let options = TargetOptions {
-            service_us: WORK.0 * 1_000,
+            service_us: SERVICE_TIME.0 * 1_000,
             ..options
         };
         let target = TargetServer::start(options, listener, CancellationToken::new());
@@ -70,9 +70,9 @@
         self.target.fault(fault);
     }
 
-    /// Does so with every request from now on.
+    /// Handles all further requests in this mode.
     pub fn does(&self, mode: Mode) {
-        let (for_ms, share) = (ALWAYS, 1.0);
+        let (for_ms, share) = (FAULT_MS, 1.0);
         self.target.fault(match mode {
             Mode::Answer => return,
             Mode::Refuse => TargetFault::Refuse { for_ms, share },
@@ -83,30 +83,30 @@
         });
     }
 
-    /// Takes that long for every request from now on.
+    /// Sets the service time of all further requests.
     pub fn takes(&self, work: Millis) {
         self.target.fault(TargetFault::Slow {
-            for_ms: ALWAYS,
-            factor: work.0 as f64 / WORK.0 as f64,
+            for_ms: FAULT_MS,
+            factor: work.0 as f64 / SERVICE_TIME.0 as f64,
         });
     }
 
-    /// Neither hears nor answers calls about keys from now on.
+    /// Ignores all further calls that grant or release keys.
     pub fn is_deaf(&self) {
-        self.target.fault(TargetFault::Deaf { for_ms: ALWAYS });
+        self.target.fault(TargetFault::Deaf { for_ms: FAULT_MS });
     }
 
-    /// Sends a request past the router.
+    /// Sends a request to the server directly, without the router.
     pub async fn ask_directly(&self) {
         let request = Request::get("/read/0")
             .header(call_header::REQUEST_ID, "directly")
             .body(Bytes::new())
             .unwrap();
         let client = HttpClient::default();
-        client.call(self.addr, request, LIMIT).await.unwrap();
+        client.call(self.addr, request, CALL_TIMEOUT).await.unwrap();
     }
 
-    /// Tells whether the server holds a key now.
+    /// Returns whether the server currently holds the lease of a key.
     pub fn holds(&self, key: u16) -> bool {
         self.target.holds(key)
     }
@@ -115,13 +115,13 @@
         self.target.ledger()
     }
 
-    /// Ids of the requests that it ran, in order.
+    /// Returns the ids of the requests that the server ran, in order.
     pub fn ran(&self) -> Vec<String> {
         let runs = self.target.ledger().runs;
         runs.into_iter().map(|r| r.request).collect()
     }
 
-    /// Number of the requests that it ran.
+    /// Returns the number of requests that the server ran.
     pub fn runs(&self) -> usize {
         self.target.ledger().runs.len()
     }
--- a/crates/chicoryrail-router/tests/support/world.rs
+++ b/crates/chicoryrail-router/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! Store, servers and router processes of one test.
+//! Store, servers and router processes of a test.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -37,24 +37,28 @@
 
 use super::Server;
 
-/// Longest time for what a test waits for.
-const LIMIT: Millis = Millis(10_000);
+/// Timeout of everything that a test waits for.
+const WAIT_TIMEOUT: Millis = Millis(10_000);
 
-/// Part of a core of a host that follows others.
-const WEAK_CORE: &str = "0.05";
+/// CPU share of a host that remains a leaf host while there are enough core hosts.
+const LOW_CPU_SHARE: &str = "0.05";
 
-/// Waits until `done`, looking every few milliseconds.
+/// Polls `done` every 10 ms until it returns true.
+///
+/// # Panics
+///
+/// Panics with `what`, the awaited condition, if that takes longer than [`WAIT_TIMEOUT`].
 pub async fn wait_until(what: &str, mut done: impl AsyncFnMut() -> bool) {
-    for _ in 0..LIMIT.0 / 10 {
+    for _ in 0..WAIT_TIMEOUT.0 / 10 {
         if done().await {
             return;
         }
         monoio::time::sleep(Millis(10).duration()).await;
     }
-    panic!("not in time: {what}");
+    panic!("timed out waiting until {what}");
 }
 
-/// Store and servers; the routers are real processes.
+/// Simulated store and servers, and the settings of the router processes.
 pub struct World {
     pub store: KvStore,
     store_addr: SocketAddr,
@@ -68,7 +72,7 @@
         let store_addr = listener.addr().unwrap();
         let server = StoreServer::new(StoreOptions::default());
         monoio::spawn(server.serve(listener, CancellationToken::new()));
-        // The cases of one test run in one process, at the same time.
+        // The cases of a test run concurrently in one process and need separate directories.
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("router-{test}-{}-{count}", std::process::id());
@@ -82,12 +86,12 @@
         }
     }
 
-    /// Puts a configuration with an ordinary service, `scheduler`, and a keyed one, `kits`.
+    /// Writes a configuration with a service that is not keyed, `desk`, and a keyed one, `kits`.
     pub async fn configure(&self) {
         self.put("op/config", &self.next_config()).await;
     }
 
-    /// Puts a configuration with so many routes more, which nobody asks for.
+    /// Writes a configuration with a number of additional routes that no request uses.
     pub async fn configure_large(&self, routes: usize) {
         let mut config = self.next_config();
         let more = (0..routes).map(|i| {
@@ -105,7 +109,7 @@
         self.store_addr
     }
 
-    /// Returns the next version of the configuration.
+    /// Returns the configuration with the next version.
     pub fn next_config(&self) -> Value {
         let version = self.version.get() + 3;
         self.version.set(version);
@@ -138,7 +142,7 @@
             .unwrap();
     }
 
-    /// Puts a value of the system's own.
+    /// Writes one of the router's own keys, given without the prefix.
     pub async fn put_own(&self, key: &str, value: &str) {
         let key = format!("{OWN_PREFIX}{key}");
         let txn = Txn::default().put(&key, value.as_bytes());
@@ -175,11 +179,14 @@
         server
     }
 
-    /// Returns the number of watches that the store was asked for so far.
+    /// Returns the number of watches that the store has opened so far.
     pub async fn watches(&self) -> u64 {
         let request = Request::get("/testkit/stats").body(Bytes::new()).unwrap();
         let client = HttpClient::default();
-        let answer = client.call(self.store_addr, request, LIMIT).await.unwrap();
+        let answer = client
+            .call(self.store_addr, request, WAIT_TIMEOUT)
+            .await
+            .unwrap();
         let stats: StoreStats = serde_json::from_slice(answer.body()).unwrap();
         stats.watches
     }
@@ -190,42 +197,48 @@
             .body(Bytes::from(body))
             .unwrap();
         let client = HttpClient::default();
-        client.call(self.store_addr, request, LIMIT).await.unwrap();
+        client
+            .call(self.store_addr, request, WAIT_TIMEOUT)
+            .await
+            .unwrap();
     }
 
-    /// Lets the store tell its watches nothing for a while, and then forget its history and cut them.
+    /// Makes the store send no watch events for `time`, then drop its history and close all watches.
     pub async fn deafen(&self, time: Millis) {
         let path = format!("/testkit/deafen?for_ms={}", time.0);
         let request = Request::put(path).body(Bytes::new()).unwrap();
         let client = HttpClient::default();
-        client.call(self.store_addr, request, LIMIT).await.unwrap();
+        client
+            .call(self.store_addr, request, WAIT_TIMEOUT)
+            .await
+            .unwrap();
     }
 
-    /// Starts a router process and waits until it takes callers.
+    /// Starts a router process and waits until it is ready for callers.
     pub async fn router(&self, name: &str) -> RouterProcess {
         let router = self.spawn(name);
         wait_until("the router is ready", async || router.is_ready().await).await;
         router
     }
 
-    /// Starts a router process on a host like any other.
+    /// Starts a router process on a host with the default CPU share.
     pub fn spawn(&self, name: &str) -> RouterProcess {
         self.spawn_on(name, "0.5")
     }
 
-    /// Starts a router process on a host with a small part of a core, and waits until it takes callers.
+    /// Starts a router process on a host with a small CPU share, and waits until it is ready for callers.
     pub async fn weak_router(&self, name: &str) -> RouterProcess {
-        let router = self.spawn_on(name, WEAK_CORE);
+        let router = self.spawn_on(name, LOW_CPU_SHARE);
         wait_until("the router is ready", async || router.is_ready().await).await;
         router
     }
 
-    /// Starts a router process on a host with a small part of a core, which reaches the store at `store`.
+    /// Starts a router process on a host with a small CPU share that reaches the store at `store`.
     pub fn spawn_weak_at(&self, name: &str, store: SocketAddr) -> RouterProcess {
-        self.spawn_at(name, WEAK_CORE, store)
+        self.spawn_at(name, LOW_CPU_SHARE, store)
     }
 
-    /// Starts a router process on a host with a part of a core.
+    /// Starts a router process on a host with this CPU share.
     fn spawn_on(&self, name: &str, core: &str) -> RouterProcess {
         self.spawn_at(name, core, self.store_addr)
     }
@@ -263,7 +276,7 @@
     }
 }
 
-/// A router process; it is killed with the test.
+/// A router process; it is killed on drop.
 pub struct RouterProcess {
     pub callers: SocketAddr,
     pub readiness: SocketAddr,
@@ -279,7 +292,7 @@
         kill(Pid::from_raw(self.child.id() as i32), signal).unwrap();
     }
 
-    /// Tells whether the process has ended, and with which code.
+    /// Returns the exit code if the process has ended; -1 if a signal ended it.
     pub fn ended(&mut self) -> Option<i32> {
         let status = self.child.try_wait().unwrap()?;
         Some(status.code().unwrap_or(-1))
@@ -288,16 +301,16 @@
     pub async fn is_ready(&self) -> bool {
         let request = Request::get("/-/readyz").body(Bytes::new()).unwrap();
         let client = HttpClient::default();
-        let answer = client.call(self.readiness, request, LIMIT).await;
+        let answer = client.call(self.readiness, request, WAIT_TIMEOUT).await;
         answer.is_ok_and(|a| a.status() == 200)
     }
 
-    /// Returns the system's id of the process.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Returns the memory that the process holds, in KiB.
+    /// Returns the resident memory of the process, in KiB.
     pub fn memory(&self) -> u64 {
         let path = format!("/proc/{}/status", self.child.id());
         let text = std::fs::read_to_string(path).unwrap();
@@ -306,12 +319,12 @@
         number.parse().unwrap()
     }
 
-    /// Returns the log so far.
+    /// Returns the log output so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap()
     }
 
-    /// Returns a caller with a connection of its own.
+    /// Returns a new caller with its own connection.
     pub fn caller(&self) -> Caller {
         let next = self.next.get() + 1;
         self.next.set(next);
@@ -331,7 +344,7 @@
     }
 }
 
-/// A caller on a kept connection.
+/// A caller with a persistent connection.
 pub struct Caller {
     addr: SocketAddr,
     client: HttpClient,
@@ -371,17 +384,17 @@
             request = request.header(call_header::KEY, key);
         }
         let request = request.body(Bytes::from_static(b"")).unwrap();
-        self.client.call(self.addr, request, LIMIT).await
+        self.client.call(self.addr, request, WAIT_TIMEOUT).await
     }
 
-    /// Sends a request whose caller waits no longer than `patience`.
-    pub async fn leaves(&self, path: &str, patience: Millis) {
+    /// Sends a request and disconnects if there is no response within `timeout`.
+    pub async fn leaves(&self, path: &str, timeout: Millis) {
         let request = Request::get(path)
             .header("host", "shop.example")
             .header(call_header::REQUEST_ID, format!("{}-left", self.name))
-            .header(call_header::TIME_LEFT, LIMIT.0)
+            .header(call_header::TIME_LEFT, WAIT_TIMEOUT.0)
             .body(Bytes::new())
             .unwrap();
-        let _ = self.client.call(self.addr, request, patience).await;
+        let _ = self.client.call(self.addr, request, timeout).await;
     }
 }
