--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -234,7 +234,7 @@
     pub(crate) fn leaves(&self) -> u32 {
         let now = self.now();
         let mut leaves = self.leaves.borrow_mut();
-        leaves.retain(|_, asked| now.since(*asked) <= LEAF_TIMEOUT);
+        leaves.retain(|_, last| now.since(*last) <= LEAF_TIMEOUT);
         leaves.len() as u32
     }
 
@@ -318,7 +318,7 @@
         now < HOST_DISCOVERY_TIME
     }
 
-    /// Returns the number of hosts that divide the part of a limit for requests that no scheduler counts.
+    /// Returns the number of hosts among which a limit is divided for requests that no scheduler counts.
     pub(crate) fn lone_hosts(&self) -> usize {
         let known = self.peers.borrow().sharing();
         if self.is_unsure_of_hosts(self.now()) {
--- a/crates/chicoryrail-router/src/state/view.rs
+++ b/crates/chicoryrail-router/src/state/view.rs
@@ -308,7 +308,7 @@
 }
 
 impl ServerEntry {
-    /// Returns whether the server's registration says that it accepts new requests.
+    /// Returns whether the server is registered as ready for new requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.member.state == MemberState::Ready
     }
--- a/crates/chicoryrail-router/src/talk/packet.rs
+++ b/crates/chicoryrail-router/src/talk/packet.rs
@@ -229,7 +229,7 @@
 /// Result of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum SlotEndKind {
-    /// The server answered, or the end says nothing about the server's state.
+    /// The server responded, or the end gives no information about the server's state.
     Plain,
     /// The server had no free slot.
     Full,
--- a/crates/chicoryrail-router/tests/divided.rs
+++ b/crates/chicoryrail-router/tests/divided.rs
@@ -35,8 +35,8 @@
 }
 
 /// Guards against requests that leave their callers' data centre although it has free slots, and against requests that
-/// queue or are refused although the other data centre has free slots: the part of a burst that exceeds the slots of one
-/// data centre runs in the other one at once.
+/// queue or are refused although the other data centre has free slots: requests of a burst beyond the slots of one data
+/// centre run in the other one at once.
 #[test]
 fn a_burst_overflows_to_the_other_data_centre() {
     block_on(async {
