--- a/crates/chicoryrail-policy/src/admission/freshness.rs
+++ b/crates/chicoryrail-policy/src/admission/freshness.rs
@@ -1,37 +1,38 @@
-//! How old a host's configuration may be.
+//! Checks how old a host's configuration may be.
 
 use chicoryrail_core::Millis;
 
-/// Part of a length of time by which two clocks may differ: one in so many.
+/// Divisor for the clock drift between two hosts: their clocks may differ by one part in this many.
 const CLOCK_DRIFT_DIVISOR: u64 = 50;
 
-/// Time for the rounding of lengths that hosts exchange in whole milliseconds.
+/// Allowance for rounding, as hosts exchange durations in whole milliseconds.
 const ROUNDING_MARGIN: Millis = Millis(20);
 
-/// Since when a host's configuration may be out of date.
+/// Moment at which a host's configuration was last known to be current.
 ///
-/// Guards against a host that is cut off and goes on serving an API key that was taken away. Each proof counts from the
-/// moment at which the call was *sent* whose answer brought it: an answer may have been on its way for long, and a
-/// watch that waits proves nothing. A request that is read within the bound of that moment was sent within the bound
-/// of every change that this host has not heard of.
+/// Guards against a host that is cut off and keeps accepting a revoked API key. A proof is dated at the moment at which
+/// its call was *sent*: the answer may have been delayed on its way, and a pending watch proves nothing. A change that
+/// this host has not received came after that moment. So a request that is read within the bound of that moment was
+/// also sent within the bound of the change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Freshness {
     current_at: Option<Millis>,
 }
 
 impl Freshness {
-    /// Takes in that the configuration was current at `at`.
+    /// Records that the configuration was current at `at`. An older moment than the recorded one changes nothing.
     pub fn prove(&mut self, at: Millis) {
         self.current_at = self.current_at.max(Some(at));
     }
 
-    /// Returns how old the configuration may be; `None` where it was never proved current.
+    /// Returns the age of the last proof; `None` if the configuration was never proved current.
     #[must_use]
     pub fn age(&self, now: Millis) -> Option<Millis> {
         self.current_at.map(|at| now.since(at))
     }
 
-    /// Tells whether API keys may be served within `bound` of their removal.
+    /// Returns `true` if API keys may be accepted without accepting one later than `bound` after its removal. The bound
+    /// is shortened by the possible clock drift and by rounding.
     #[must_use]
     pub fn holds(&self, now: Millis, bound: Millis) -> bool {
         let usable = bound.since(Millis(bound.0 / CLOCK_DRIFT_DIVISOR) + ROUNDING_MARGIN);
--- a/crates/chicoryrail-policy/src/admission/key_index.rs
+++ b/crates/chicoryrail-policy/src/admission/key_index.rs
@@ -1,4 +1,4 @@
-//! Finds the organisation that holds an API key.
+//! Finds the organisation of an API key.
 
 use std::collections::HashMap;
 use std::hash::Hasher;
@@ -8,37 +8,37 @@
 use siphasher::sip128::Hasher128;
 use siphasher::sip128::SipHasher24;
 
-/// The organisations by their API keys.
+/// Organisations, indexed by their API keys.
 ///
-/// Keys are found by a digest under a secret of the process. How long a search takes tells nothing of how much of a
-/// guessed key is right, and nobody can choose keys that collide.
+/// Keys are looked up by a keyed digest with a per-process secret. The time of a lookup therefore reveals nothing about
+/// how much of a guessed key is correct, and nobody can choose keys that collide.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
     secret: [u8; 16],
-    holders: HashMap<u128, Arc<Organisation>>,
+    by_digest: HashMap<u128, Arc<Organisation>>,
 }
 
 impl KeyIndex {
-    /// Indexes the organisations; `secret` is random for each process.
+    /// Indexes the organisations. `secret` is random for each process.
     #[must_use]
     pub fn new(secret: [u8; 16], organisations: &[Arc<Organisation>]) -> Self {
         let mut index = Self {
             secret,
-            holders: HashMap::new(),
+            by_digest: HashMap::new(),
         };
         for organisation in organisations {
             for key in &organisation.keys {
                 let digest = index.digest(key.expose());
-                index.holders.insert(digest, Arc::clone(organisation));
+                index.by_digest.insert(digest, Arc::clone(organisation));
             }
         }
         index
     }
 
-    /// Returns the organisation that holds a key.
+    /// Returns the organisation with this API key.
     #[must_use]
     pub fn holder(&self, key: &[u8]) -> Option<&Arc<Organisation>> {
-        self.holders.get(&self.digest(key))
+        self.by_digest.get(&self.digest(key))
     }
 
     fn digest(&self, key: &[u8]) -> u128 {
--- a/crates/chicoryrail-policy/src/admission/mod.rs
+++ b/crates/chicoryrail-policy/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether this host still knows that.
+//! Identifies the organisation of a request, and checks that this host's configuration is recent enough to do so.
 
 mod freshness;
 mod key_index;
--- a/crates/chicoryrail-policy/src/quota/mod.rs
+++ b/crates/chicoryrail-policy/src/quota/mod.rs
@@ -1,15 +1,16 @@
-//! How many requests of an organisation run, summed over all hosts.
+//! Limits the number of requests of each organisation, summed over all hosts.
 //!
-//! One host, the leader, holds a [`QuotaPool`] for each organisation with a limit. The hosts that schedule lease tokens
-//! from it ahead of need, in a [`QuotaShare`], so no request waits for a token. A host that can't reach them spends a
-//! small part of its own, a [`LoneShare`].
+//! One host, the leader, holds a [`QuotaPool`] for each organisation with a limit. Schedulers lease tokens from it
+//! ahead of demand, each in a [`QuotaShare`], so that no request waits for a token. A host that reaches no scheduler
+//! spends a small fraction of the limit on its own, a [`LoneShare`].
 
 mod allowance;
 mod lone_share;
 mod quota_pool;
 mod quota_share;
-mod refill;
+
 mod sliding_window;
+mod token_bucket;
 
 pub use allowance::Allowance;
 pub use lone_share::LoneShare;
--- a/crates/chicoryrail-policy/src/quota/quota_pool.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_pool.rs
@@ -1,4 +1,4 @@
-//! The tokens of one organisation at the leader.
+//! Tokens of one organisation at the leader.
 
 use std::collections::BTreeMap;
 
@@ -9,84 +9,85 @@
 use crate::quota::Allowance;
 use crate::quota::QuotaGrant;
 use crate::quota::QuotaReport;
-use crate::quota::refill::Refill;
 use crate::quota::sliding_window::SlidingWindow;
+use crate::quota::token_bucket::TokenBucket;
 
 /// Time without a report after which a host's tokens count as spent.
 const REPORT_TIMEOUT: Millis = Millis(3_000);
 
-/// The tokens of one organisation at the leader.
+/// Tokens of one organisation at the leader.
 ///
-/// Load: many schedulers, each with a part of an organisation's requests that changes from moment to moment. Harm
-/// prevented: more than the limit runs although no scheduler sees all. In any window no more runs, and lies unused at
-/// schedulers, than the limit allows; within that, a flood is spread over the window in place of being served whole
-/// and then not at all.
+/// Guards against admitting more than the limit when many schedulers each receive a changing fraction of an
+/// organisation's requests and none sees all of them. In any window, the admitted requests and the unused tokens at
+/// schedulers together stay within the limit. Within that limit a flood is spread over the window; otherwise it would
+/// be served whole at first and then not at all.
 #[derive(Clone, Debug)]
 pub struct QuotaPool {
     started: Millis,
-    /// Requests that ran; `None` before the first report.
-    ran: Option<SlidingWindow>,
-    refill: Refill,
-    lent: BTreeMap<HostName, Lent>,
+    /// Admitted requests; `None` before the first report.
+    admitted: Option<SlidingWindow>,
+    bucket: TokenBucket,
+    leases: BTreeMap<HostName, HostLease>,
 }
 
-/// Tokens at one host.
+/// Tokens leased to one host.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lent {
+struct HostLease {
     granted: u64,
     returned: u64,
-    /// Requests that it let run, as it said last.
+    /// Requests that the host has admitted, by its last report.
     spent: i64,
     held: i64,
     want: u64,
-    /// Part of a token that its last parts came to beyond whole ones: of few tokens, each host gets one in turn.
-    fraction: f64,
-    heard: Millis,
+    /// Fractional tokens left over from the host's last grants. They add up, so that few tokens go to each host in
+    /// turn.
+    remainder: f64,
+    reported_at: Millis,
 }
 
-impl Lent {
-    /// Returns the tokens that the host lacks.
+impl HostLease {
+    /// Returns the number of tokens that the host lacks.
     fn need(&self) -> f64 {
         (self.want as i64 - self.held).max(0) as f64
     }
 }
 
-/// What the leader gives out of.
+/// Limits within which the leader grants tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolBound {
     /// Term of the leader.
     pub term: u64,
-    /// The organisation's limit.
+    /// Limit of the organisation.
     pub limit: QuotaLimit,
-    /// What may be exceeded of it.
+    /// Tolerance by which the limit may be exceeded.
     pub allowance: Allowance,
-    /// Hosts that schedule.
+    /// Number of schedulers.
     pub schedulers: usize,
-    /// Part of the schedulers that this leader hears; the others spend their parts of the limit by themselves.
+    /// Fraction of the schedulers that report to this leader. The others spend their shares of the limit on their own.
     pub heard_part: f64,
 }
 
 impl PoolBound {
-    /// Returns the requests beyond the limit that may be given out.
-    fn beside(&self) -> f64 {
-        self.allowance.beside(self.limit)
+    /// Returns the number of tokens that may be granted in addition to the limit.
+    fn burst_extra(&self) -> f64 {
+        self.allowance.burst_extra(self.limit)
     }
 }
 
 impl QuotaPool {
-    /// Returns the pool of a leader that began to lead at `started`. What ran before it does not know, so it assumes
-    /// as much as the limit allows.
+    /// Returns the pool of a leader whose term began at `started`. The leader does not know what was admitted before,
+    /// so it assumes as much as the limit allows.
     #[must_use]
     pub const fn from(started: Millis) -> Self {
         Self {
             started,
-            ran: None,
-            refill: Refill::from(started),
-            lent: BTreeMap::new(),
+            admitted: None,
+            bucket: TokenBucket::empty(started),
+            leases: BTreeMap::new(),
         }
     }
 
-    /// Takes in what a host reports, and gives it tokens for what it wants as far as there are.
+    /// Applies a host's report and grants it the tokens that it lacks, as far as available.
     pub fn report(
         &mut self,
         now: Millis,
@@ -94,129 +95,140 @@
         report: QuotaReport,
         bound: &PoolBound,
     ) -> QuotaGrant {
-        self.forget_silent(now);
-        self.take_in(now, host, report, bound);
+        self.expire_silent(now);
+        self.apply_report(now, host, report, bound);
         let in_window = self.free_in_window(now, bound);
-        let free = in_window.min(self.refill.tokens);
-        let needs: f64 = self.lent.values().map(Lent::need).sum();
-        let lent = self.lent.entry(host.clone()).or_default();
-        // Where there are too few for all, whoever reports first leaves the others their parts.
-        let part = lent.need() * free.max(0.0) / needs.max(1.0) + lent.fraction;
-        lent.fraction = part.fract();
-        let given = lent.need().min(part.floor()).min(free.floor()).max(0.0);
-        self.refill.tokens -= given;
-        lent.granted += given as u64;
-        lent.held += given as i64;
+        let available = in_window.min(self.bucket.tokens);
+        let needs: f64 = self.leases.values().map(HostLease::need).sum();
+        let lease = self.leases.entry(host.clone()).or_default();
+        // With too few tokens for all, the host that reports first leaves the others their shares.
+        let share = lease.need() * available.max(0.0) / needs.max(1.0) + lease.remainder;
+        lease.remainder = share.fract();
+        let new_tokens = lease
+            .need()
+            .min(share.floor())
+            .min(available.floor())
+            .max(0.0);
+        self.bucket.tokens -= new_tokens;
+        lease.granted += new_tokens as u64;
+        lease.held += new_tokens as i64;
         QuotaGrant {
             term: bound.term,
-            granted: lent.granted,
-            exhausted: in_window - given < 1.0,
+            granted: lease.granted,
+            exhausted: in_window - new_tokens < 1.0,
         }
     }
 
-    /// Returns the tokens that the window leaves, and brings those up to date that may be given out at once.
+    /// Returns the tokens left in the window, and refills the bucket of tokens that may be granted at once.
     fn free_in_window(&mut self, now: Millis, bound: &PoolBound) -> f64 {
-        let length = bound.allowance.window;
-        let whole = bound.allowance.window_limit(bound.limit);
-        let limit = whole * bound.heard_part.clamp(0.0, 1.0);
-        let held: i64 = self.lent.values().map(|l| l.held.max(0)).sum();
-        let ran = self.window(bound).count(now);
-        let rate = limit * 1_000.0 / length.0.max(1) as f64;
-        let most = (bound.limit.burst + bound.beside() - held as f64).max(0.0);
-        self.refill.grow(now, rate, most);
-        limit + bound.beside() - ran - held as f64
+        let window = bound.allowance.window;
+        let window_limit = bound.allowance.window_limit(bound.limit);
+        let limit = window_limit * bound.heard_part.clamp(0.0, 1.0);
+        let held: i64 = self.leases.values().map(|l| l.held.max(0)).sum();
+        let admitted = self.window(bound).count(now);
+        let rate = limit * 1_000.0 / window.0.max(1) as f64;
+        let capacity = (bound.limit.burst + bound.burst_extra() - held as f64).max(0.0);
+        self.bucket.refill(now, rate, capacity);
+        limit + bound.burst_extra() - admitted - held as f64
     }
 
-    /// Returns what ran in the window. What ran before this leader began it does not know: as much as the limit allows,
-    /// and the burst as late as can be.
+    /// Returns the admitted requests in the window. The leader does not know what was admitted before its term, so it
+    /// assumes as much as the limit allows, with the burst as late as possible.
     fn window(&mut self, bound: &PoolBound) -> &mut SlidingWindow {
         let Allowance { window, .. } = bound.allowance;
         let limit = bound.limit;
-        self.ran.get_or_insert_with(|| {
-            let whole = bound.allowance.window_limit(limit);
-            let mut ran = SlidingWindow::filled(self.started, window, whole - limit.burst);
-            ran.add(self.started, limit.burst + bound.beside());
-            ran
+        self.admitted.get_or_insert_with(|| {
+            let window_limit = bound.allowance.window_limit(limit);
+            let mut admitted =
+                SlidingWindow::filled(self.started, window, window_limit - limit.burst);
+            admitted.add(self.started, limit.burst + bound.burst_extra());
+            admitted
         })
     }
 
-    /// Counts the tokens of hosts that are not heard any more as spent.
-    fn forget_silent(&mut self, now: Millis) {
-        let silent = self.lent.values_mut();
-        let silent = silent.filter(|l| now.since(l.heard) > REPORT_TIMEOUT);
+    /// Counts the tokens of hosts that no longer report as spent.
+    fn expire_silent(&mut self, now: Millis) {
+        let silent = self.leases.values_mut();
+        let silent = silent.filter(|l| now.since(l.reported_at) > REPORT_TIMEOUT);
         let held = silent.map(|l| {
             l.want = 0;
             std::mem::take(&mut l.held).max(0)
         });
         let held: i64 = held.sum();
-        if let Some(ran) = self.ran.as_mut().filter(|_| held > 0) {
-            ran.add(now, held as f64);
+        if let Some(admitted) = self.admitted.as_mut().filter(|_| held > 0) {
+            admitted.add(now, held as f64);
         }
     }
 
-    /// Brings what is known of a host's tokens up to date.
-    fn take_in(&mut self, now: Millis, host: &HostName, report: QuotaReport, bound: &PoolBound) {
-        let known = self.lent.get(host).copied();
-        let known = known.filter(|_| report.term == bound.term);
-        let lent = match known {
-            Some(known) => self.take_change(now, known, report, bound),
-            None => self.take_unknown(now, host, report, bound),
+    /// Updates a host's lease from its report.
+    fn apply_report(
+        &mut self,
+        now: Millis,
+        host: &HostName,
+        report: QuotaReport,
+        bound: &PoolBound,
+    ) {
+        let previous = self.leases.get(host).copied();
+        let previous = previous.filter(|_| report.term == bound.term);
+        let lease = match previous {
+            Some(previous) => self.update_lease(now, previous, report, bound),
+            None => self.new_lease(now, host, report, bound),
         };
-        self.lent.insert(host.clone(), lent);
+        self.leases.insert(host.clone(), lease);
     }
 
-    fn take_change(
+    fn update_lease(
         &mut self,
         now: Millis,
-        known: Lent,
+        previous: HostLease,
         report: QuotaReport,
         bound: &PoolBound,
-    ) -> Lent {
-        let spent = report.spent - known.spent;
+    ) -> HostLease {
+        let spent = report.spent - previous.spent;
         self.window(bound).add(now, spent as f64);
-        let returned = report.returned.saturating_sub(known.returned);
-        self.refill.tokens += returned as f64;
-        // Tokens that are on their way count as held.
-        let under_way = known.granted.saturating_sub(report.granted);
-        Lent {
-            granted: known.granted,
-            returned: known.returned + returned,
+        let returned = report.returned.saturating_sub(previous.returned);
+        self.bucket.tokens += returned as f64;
+        // Tokens of grants that the host has not received yet count as held.
+        let in_flight = previous.granted.saturating_sub(report.granted);
+        HostLease {
+            granted: previous.granted,
+            returned: previous.returned + returned,
             spent: report.spent,
-            held: report.held + under_way as i64,
+            held: report.held + in_flight as i64,
             want: report.want,
-            fraction: known.fraction,
-            heard: now,
+            remainder: previous.remainder,
+            reported_at: now,
         }
     }
 
-    /// Takes in a host that says another term: it started anew, or what it was given in this term was lost. What it let
-    /// run by itself since this leader began is not known, and counted as its part of the limit.
-    fn take_unknown(
+    /// Returns the lease of a host that reports another term: the host restarted, or its grants of this term were lost.
+    /// What it admitted on its own since this leader's term began is unknown and counts as its share of the limit.
+    fn new_lease(
         &mut self,
         now: Millis,
         host: &HostName,
         report: QuotaReport,
         bound: &PoolBound,
-    ) -> Lent {
-        let length = bound.allowance.window;
-        let alone = now.since(self.started).min(length);
-        let part = bound.allowance.window_limit(bound.limit) / bound.schedulers.max(1) as f64;
-        let ran = part * alone.0 as f64 / length.0.max(1) as f64;
-        // What it still holds did not run, though it is assumed that all did which could. It says so again until an
-        // answer reaches it.
-        let unspent = match self.lent.contains_key(host) {
+    ) -> HostLease {
+        let window = bound.allowance.window;
+        let unobserved = now.since(self.started).min(window);
+        let share = bound.allowance.window_limit(bound.limit) / bound.schedulers.max(1) as f64;
+        let admitted = share * unobserved.0 as f64 / window.0.max(1) as f64;
+        // Tokens that the host still holds were not spent, although the window assumes that all tokens were. The host
+        // repeats its report until it receives an answer, so they are subtracted only once.
+        let unspent = match self.leases.contains_key(host) {
             true => 0.0,
             false => report.held.max(0) as f64,
         };
-        self.window(bound).add(now, ran - unspent);
-        Lent {
+        self.window(bound).add(now, admitted - unspent);
+        HostLease {
             granted: 0,
             returned: 0,
             spent: report.spent,
             held: report.held,
             want: report.want,
-            fraction: 0.0,
-            heard: now,
+            remainder: 0.0,
+            reported_at: now,
         }
     }
 }
--- a/crates/chicoryrail-policy/src/quota/quota_share.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_share.rs
@@ -1,4 +1,4 @@
-//! The tokens of one organisation at a host that schedules.
+//! Tokens of one organisation at a scheduler.
 
 use bincode::Decode;
 use bincode::Encode;
@@ -6,80 +6,81 @@
 use chicoryrail_core::QuotaLimit;
 
 use crate::quota::Allowance;
-use crate::quota::refill::Refill;
-use crate::quota::refill::time_to_grow;
+use crate::quota::token_bucket::TokenBucket;
+use crate::quota::token_bucket::time_to_refill;
 
-/// Time without an answer of the leader after which a host has its own part of each limit, as the leader reckons.
+/// Time without an answer from the leader after which a host spends its own share of each limit. The leader uses the
+/// same time.
 pub const LONE_AFTER: Millis = Millis(500);
 
-/// Length of the demand for which tokens are leased ahead.
+/// Duration of demand for which tokens are leased ahead.
 const LEASE_AHEAD_MS: f64 = 300.0;
 
-/// Time after which a host reports again although nothing changed, so that its tokens still count as lent.
+/// Time after which a host reports again even if nothing has changed, so that its tokens still count as leased.
 const REPORT_INTERVAL_MAX: Millis = Millis(1_000);
 
-/// Tokens ahead below which none is held.
-const AHEAD_TOKENS_MIN: f64 = 0.25;
+/// Expected demand, in tokens, below which no token is held for it.
+const LEASE_TOKENS_MIN: f64 = 0.25;
 
-/// Times the tokens wanted above which those beyond are given back.
-const SURPLUS_TIMES: i64 = 2;
+/// Multiple of the wanted tokens above which surplus tokens are returned.
+const SURPLUS_FACTOR: i64 = 2;
 
-/// Length of time over which the demand is averaged.
-const DEMAND_MEMORY_MS: f64 = 300.0;
+/// Time over which the demand is averaged.
+const DEMAND_AVERAGE_MS: f64 = 300.0;
 
-/// What a host that schedules says of its tokens of one organisation.
+/// Report of a scheduler on its tokens of one organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct QuotaReport {
-    /// Term in which it counts; 0 where it was given none.
+    /// Term that the counts of granted and returned tokens belong to; 0 before the first grant.
     pub term: u64,
-    /// Tokens that it was given in that term.
+    /// Tokens granted to the host in that term.
     pub granted: u64,
-    /// Tokens that it gave back in that term.
+    /// Tokens that the host returned in that term.
     pub returned: u64,
-    /// Requests that it let run since it started.
+    /// Requests that the host has admitted since it started.
     pub spent: i64,
-    /// Tokens that it holds; below 0 where requests went ahead of their tokens.
+    /// Tokens that the host holds; below 0 if it admitted requests before it received the tokens.
     pub held: i64,
-    /// Tokens that it should hold for what is asked of it.
+    /// Tokens that the host should hold for its demand.
     pub want: u64,
 }
 
-/// Tokens that a host was given.
+/// Tokens granted to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct QuotaGrant {
-    /// Term of the leader that gave them.
+    /// Term of the leader that granted them.
     pub term: u64,
-    /// Tokens given in that term, all together; a grant that was lost is in the next one.
+    /// Total of tokens granted in that term. A later grant therefore includes one that was lost.
     pub granted: u64,
-    /// Whether as much ran in the window as the limit allows.
+    /// Whether the admitted requests in the window have reached the limit.
     pub exhausted: bool,
 }
 
-/// Who may give tokens at this moment.
+/// Limit and state of the leader that a share is used under.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareBound {
-    /// The organisation's limit.
+    /// Limit of the organisation.
     pub limit: QuotaLimit,
-    /// Hosts that schedule.
+    /// Number of schedulers.
     pub schedulers: usize,
-    /// Whether the leader has not answered for so long that it counts this host as lone.
+    /// Whether the leader has not answered for so long that it counts this host as disconnected.
     pub lone: bool,
-    /// What may be exceeded of it.
+    /// Tolerance by which the limit may be exceeded.
     pub allowance: Allowance,
 }
 
 impl ShareBound {
-    fn base(&self) -> i64 {
+    fn base_tokens(&self) -> i64 {
         self.allowance.base_tokens(self.limit, self.schedulers) as i64
     }
 }
 
-/// The tokens of one organisation at a host that schedules.
+/// Tokens of one organisation at a scheduler.
 ///
-/// Load: the requests of one organisation, at several schedulers at once. Harm prevented: a request that is within the
-/// limit waits for a token or is refused beside unused ones elsewhere; all together exceed the limit. Tokens are leased
-/// ahead of the demand that is seen, a few requests go ahead of their tokens, and a host that no leader answers has
-/// its fixed part of the rate.
+/// Several schedulers receive requests of one organisation at once. This guards against a request within the limit that
+/// waits for a token, or is refused while others have unused tokens, and against admitting more than the limit in
+/// total. Tokens are leased ahead of the observed demand, a few requests are admitted before their tokens arrive, and a
+/// host without an answer from the leader spends a fixed share of the rate.
 #[derive(Clone, Debug)]
 pub struct QuotaShare {
     term: u64,
@@ -87,16 +88,16 @@
     returned: u64,
     spent: i64,
     held: i64,
-    /// Tokens that grow while the leader does not answer.
-    lone: Refill,
-    was_lone: bool,
-    /// Whether as much had run as the limit allows when the leader answered last.
+    /// Tokens that accumulate while the leader does not answer.
+    fallback: TokenBucket,
+    was_disconnected: bool,
+    /// Whether the limit was reached at the leader's last answer.
     exhausted: bool,
-    /// Requests that asked for a token since the last report.
-    asked: u32,
-    /// Mean requests a millisecond that ask for a token.
+    /// Requests for a token since the last report.
+    requested: u32,
+    /// Mean requests for a token per millisecond.
     demand: f64,
-    reported: Millis,
+    reported_at: Millis,
 }
 
 impl Default for QuotaShare {
@@ -108,12 +109,12 @@
             returned: 0,
             spent: 0,
             held: 0,
-            lone: Refill::from(Millis::ZERO),
-            was_lone: false,
+            fallback: TokenBucket::empty(Millis::ZERO),
+            was_disconnected: false,
             exhausted: false,
-            asked: 0,
+            requested: 0,
             demand: 0.0,
-            reported: Millis::ZERO,
+            reported_at: Millis::ZERO,
         }
     }
 }
@@ -123,75 +124,75 @@
     ///
     /// # Errors
     ///
-    /// Returns the time after which there may be one.
+    /// Returns the time until a token may be available.
     pub fn take(&mut self, now: Millis, bound: &ShareBound) -> Result<(), Millis> {
-        self.asked += 1;
+        self.requested += 1;
         let schedulers = bound.schedulers.max(1) as f64;
-        let part = bound.limit.rate / schedulers;
+        let own_rate = bound.limit.rate / schedulers;
         if bound.lone {
-            self.grow_alone(now, part, (bound.limit.burst / schedulers).max(1.0));
+            self.refill_fallback(now, own_rate, (bound.limit.burst / schedulers).max(1.0));
         } else {
-            self.lone = Refill::from(now);
-            self.was_lone = false;
+            self.fallback = TokenBucket::empty(now);
+            self.was_disconnected = false;
         }
-        let ahead = (bound.allowance.ahead(bound.limit) / schedulers) as i64;
-        if self.held - 1 < -ahead {
-            return Err(time_to_grow(1.0 - self.held as f64, part));
+        let advance = (bound.allowance.advance_requests(bound.limit) / schedulers) as i64;
+        if self.held - 1 < -advance {
+            return Err(time_to_refill(1.0 - self.held as f64, own_rate));
         }
         self.held -= 1;
         self.spent += 1;
         Ok(())
     }
 
-    /// Adds the tokens of this host's own part, at `rate` a second, up to `most`. What the leader gave counts as spent
-    /// there by now.
-    fn grow_alone(&mut self, now: Millis, rate: f64, most: f64) {
-        if !self.was_lone {
+    /// Adds the tokens of this host's own share, at `rate` per second, up to `capacity`. The leader counts the tokens
+    /// that it granted as spent by now, so they are dropped.
+    fn refill_fallback(&mut self, now: Millis, rate: f64, capacity: f64) {
+        if !self.was_disconnected {
             self.held = self.held.min(0);
-            self.was_lone = true;
+            self.was_disconnected = true;
         }
-        self.lone.grow(now, rate, most);
-        let whole = self.lone.tokens.floor();
-        self.lone.tokens -= whole;
-        self.held = (self.held + whole as i64).min(most as i64);
+        self.fallback.refill(now, rate, capacity);
+        let whole_tokens = self.fallback.tokens.floor();
+        self.fallback.tokens -= whole_tokens;
+        self.held = (self.held + whole_tokens as i64).min(capacity as i64);
     }
 
-    /// Gives back the token of a request that did not run.
+    /// Returns the token of a request that did not run.
     pub fn give_back(&mut self) {
         self.held += 1;
         self.spent -= 1;
     }
 
-    /// Tells whether a request that found no token may wait for one: the leader has some, as far as is known.
+    /// Returns `true` if a request without a token may wait for one: as far as is known, the leader has some.
     #[must_use]
     pub const fn may_wait(&self, bound: &ShareBound) -> bool {
         !bound.lone && !self.exhausted
     }
 
-    /// Tells whether there is anything to report.
+    /// Returns `true` if a report is due.
     #[must_use]
     pub fn is_due(&self, now: Millis, bound: &ShareBound) -> bool {
         let want = self.want(bound);
-        let fits = (want..=want * SURPLUS_TIMES).contains(&self.held);
-        self.asked > 0 || !fits || now.since(self.reported) >= REPORT_INTERVAL_MAX
+        let in_range = (want..=want * SURPLUS_FACTOR).contains(&self.held);
+        self.requested > 0 || !in_range || now.since(self.reported_at) >= REPORT_INTERVAL_MAX
     }
 
-    /// Tells whether so few tokens are left that more are to be asked for at once.
+    /// Returns `true` if so few tokens are left that the host should report at once to get more.
     #[must_use]
     pub fn is_low(&self, bound: &ShareBound) -> bool {
         self.held <= self.want(bound) / 2
     }
 
-    /// Returns what the leader is told, and gives back what is not needed.
+    /// Returns the report to the leader, and returns surplus tokens.
     pub fn report(&mut self, now: Millis, bound: &ShareBound) -> QuotaReport {
-        let passed = now.since(self.reported).0.max(1) as f64;
-        let newest = f64::from(self.asked) / passed;
-        let part = (passed / DEMAND_MEMORY_MS).min(1.0);
-        self.demand += (newest - self.demand) * part;
-        self.asked = 0;
-        self.reported = now;
+        let elapsed = now.since(self.reported_at).0.max(1) as f64;
+        let current = f64::from(self.requested) / elapsed;
+        let weight = (elapsed / DEMAND_AVERAGE_MS).min(1.0);
+        self.demand += (current - self.demand) * weight;
+        self.requested = 0;
+        self.reported_at = now;
         let want = self.want(bound);
-        if self.held > want * SURPLUS_TIMES {
+        if self.held > want * SURPLUS_FACTOR {
             self.returned += (self.held - want) as u64;
             self.held = want;
         }
@@ -206,13 +207,17 @@
     }
 
     fn want(&self, bound: &ShareBound) -> i64 {
-        let ahead = self.demand * LEASE_AHEAD_MS;
-        // One request long ago holds no token back from schedulers that need it.
-        let ahead = if ahead < AHEAD_TOKENS_MIN { 0.0 } else { ahead };
-        (ahead.ceil() as i64).max(bound.base())
+        let needed = self.demand * LEASE_AHEAD_MS;
+        // A single request long ago holds no token that other schedulers need.
+        let needed = if needed < LEASE_TOKENS_MIN {
+            0.0
+        } else {
+            needed
+        };
+        (needed.ceil() as i64).max(bound.base_tokens())
     }
 
-    /// Takes in tokens that the leader gave.
+    /// Applies a grant of the leader. A grant of an earlier term changes nothing.
     pub fn grant(&mut self, grant: QuotaGrant) {
         if grant.term < self.term {
             return;
@@ -223,8 +228,8 @@
             self.returned = 0;
         }
         self.exhausted = grant.exhausted;
-        let new = grant.granted.saturating_sub(self.granted);
-        self.granted += new;
-        self.held += new as i64;
+        let new_tokens = grant.granted.saturating_sub(self.granted);
+        self.granted += new_tokens;
+        self.held += new_tokens as i64;
     }
 }
--- a/crates/chicoryrail-policy/src/quota/sliding_window.rs
+++ b/crates/chicoryrail-policy/src/quota/sliding_window.rs
@@ -1,63 +1,63 @@
-//! How many requests ran in the last moments.
+//! Sliding-window counter of requests.
 
 use std::collections::VecDeque;
 
 use chicoryrail_core::Millis;
 
-/// Length of the moments that are counted together.
-const SLOT_LENGTH: Millis = Millis(50);
+/// Length of time whose requests are counted together.
+const BUCKET_LENGTH: Millis = Millis(50);
 
-/// Requests that ran within a length of time that ends now.
+/// Number of requests within a window that ends now.
 #[derive(Clone, Debug)]
 pub(crate) struct SlidingWindow {
     length: Millis,
-    slots: VecDeque<Slot>,
+    buckets: VecDeque<Bucket>,
     sum: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Slot {
-    /// When its last request leaves the window.
-    ends: Millis,
+struct Bucket {
+    /// Time at which its last request leaves the window.
+    expires_at: Millis,
     requests: f64,
 }
 
 impl SlidingWindow {
-    /// Returns a window in which `requests` ran evenly over the `length` before `now`.
+    /// Returns a window in which `requests` are spread evenly over the `length` before `now`.
     pub(crate) fn filled(now: Millis, length: Millis, requests: f64) -> Self {
-        let count = (length.0 / SLOT_LENGTH.0).max(1);
-        let part = requests / count as f64;
-        let slot = |i| Slot {
-            ends: now + SLOT_LENGTH.times(i),
-            requests: part,
+        let count = (length.0 / BUCKET_LENGTH.0).max(1);
+        let per_bucket = requests / count as f64;
+        let bucket = |i| Bucket {
+            expires_at: now + BUCKET_LENGTH.times(i),
+            requests: per_bucket,
         };
         Self {
             length,
-            slots: (1..=count).map(slot).collect(),
+            buckets: (1..=count).map(bucket).collect(),
             sum: requests,
         }
     }
 
-    /// Counts requests; a negative number takes some back.
+    /// Counts requests; a negative number subtracts them.
     pub(crate) fn add(&mut self, now: Millis, requests: f64) {
-        let ends = now + self.length;
+        let expires_at = now + self.length;
         self.sum += requests;
-        match self.slots.back_mut() {
-            Some(slot) if ends < slot.ends => slot.requests += requests,
-            _ => self.slots.push_back(Slot {
-                ends: ends + SLOT_LENGTH,
+        match self.buckets.back_mut() {
+            Some(bucket) if expires_at < bucket.expires_at => bucket.requests += requests,
+            _ => self.buckets.push_back(Bucket {
+                expires_at: expires_at + BUCKET_LENGTH,
                 requests,
             }),
         }
     }
 
-    /// Returns the requests within the length that ends now.
+    /// Returns the number of requests within the window that ends now.
     pub(crate) fn count(&mut self, now: Millis) -> f64 {
-        while let Some(slot) = self.slots.front()
-            && slot.ends <= now
+        while let Some(bucket) = self.buckets.front()
+            && bucket.expires_at <= now
         {
-            self.sum -= slot.requests;
-            self.slots.pop_front();
+            self.sum -= bucket.requests;
+            self.buckets.pop_front();
         }
         self.sum
     }
--- a/crates/chicoryrail-policy/src/server_id.rs
+++ b/crates/chicoryrail-policy/src/server_id.rs
@@ -1,5 +1,5 @@
-//! Names of servers within the decisions.
+//! Identifiers of servers within this crate.
 
-/// Names a server within one process, which deals the numbers.
+/// Identifies a server within one process. The caller assigns the numbers; they mean nothing to other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
