--- a/crates/chicoryrail-policy/src/lib.rs
+++ b/crates/chicoryrail-policy/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of chicoryrail under load, pure: time and random numbers come in as arguments.
+//! Scheduling, load balancing, quotas and admission of chicoryrail, without input or output.
 //!
-//! A [`Scheduler`] decides for all hosts which request goes to which server of a service, who waits and who is
-//! refused. [`SharedServers`] picks for one host that can't ask it, among servers that others send to as
-//! well. Nothing here opens a socket or reads a clock, so a test steps through any load in no time.
+//! A [`Scheduler`] decides for all hosts which request goes to which server of a service, which requests wait and which
+//! are refused. [`SharedServers`] selects servers for one host that can't reach the scheduler, among servers that other
+//! hosts send to as well. Time and random numbers are arguments: nothing here opens a socket or reads a clock, so a test
+//! simulates any load without waiting.
 //!
 //! # Example
 //!
@@ -18,20 +19,20 @@
 //! let now = Millis(10);
 //! let mut scheduler = Scheduler::default();
 //! scheduler.set(now, ServerId(0), SlotState::open(2));
-//! let ask = SlotRequest {
+//! let request = SlotRequest {
 //!     ticket: 1, rank: 0, aim: now + Millis(300), deadline: now + Millis(1_000), work_us: 5_000.0,
 //!     key: None, not: Vec::new(), near: 0, large: false,
 //! };
-//! scheduler.ask(now, ask);
-//! let verdicts = scheduler.poll(now, |_| Placement::Any);
-//! assert_eq!(verdicts, [(1, Decision::Send(ServerId(0)))]);
+//! scheduler.ask(now, request);
+//! let decisions = scheduler.poll(now, |_| Placement::Any);
+//! assert_eq!(decisions, [(1, Decision::Send(ServerId(0)))]);
 //! ```
 //!
-//! [`KeyIndex`] and [`Freshness`] tell whose request it is and whether that still holds; [`QuotaPool`] and
-//! [`QuotaShare`] keep organisations within their limits over all hosts.
+//! [`KeyIndex`] finds the organisation of a request, [`Freshness`] checks that this is still up to date, and
+//! [`QuotaPool`] and [`QuotaShare`] keep organisations within their limits over all hosts.
 //!
-//! Go on with [`ColdPace`] for cold servers, [`SharedRetries`] for repeats, and [`return_time`] for when a
-//! refused caller comes back.
+//! See also [`ColdPace`] for servers that warm up, [`SharedRetries`] for retries, and [`return_time`] for the time after
+//! which a refused caller retries.
 
 mod admission;
 mod quota;
--- a/crates/chicoryrail-policy/src/quota/quota_share.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_share.rs
@@ -63,7 +63,7 @@
     pub limit: QuotaLimit,
     /// Number of schedulers.
     pub schedulers: usize,
-    /// Whether the leader has not answered for so long that it counts this host as disconnected.
+    /// Whether the leader has not answered for so long that it counts this host as isolated.
     pub lone: bool,
     /// Tolerance by which the limit may be exceeded.
     pub allowance: Allowance,
@@ -90,7 +90,7 @@
     held: i64,
     /// Tokens that accumulate while the leader does not answer.
     fallback: TokenBucket,
-    was_disconnected: bool,
+    was_isolated: bool,
     /// Whether the limit was reached at the leader's last answer.
     exhausted: bool,
     /// Requests for a token since the last report.
@@ -110,7 +110,7 @@
             spent: 0,
             held: 0,
             fallback: TokenBucket::empty(Millis::ZERO),
-            was_disconnected: false,
+            was_isolated: false,
             exhausted: false,
             requested: 0,
             demand: 0.0,
@@ -133,7 +133,7 @@
             self.refill_fallback(now, own_rate, (bound.limit.burst / schedulers).max(1.0));
         } else {
             self.fallback = TokenBucket::empty(now);
-            self.was_disconnected = false;
+            self.was_isolated = false;
         }
         let advance = (bound.allowance.advance_requests(bound.limit) / schedulers) as i64;
         if self.held - 1 < -advance {
@@ -147,9 +147,9 @@
     /// Adds the tokens of this host's own share, at `rate` per second, up to `capacity`. The leader counts the tokens
     /// that it granted as spent by now, so they are dropped.
     fn refill_fallback(&mut self, now: Millis, rate: f64, capacity: f64) {
-        if !self.was_disconnected {
+        if !self.was_isolated {
             self.held = self.held.min(0);
-            self.was_disconnected = true;
+            self.was_isolated = true;
         }
         self.fallback.refill(now, rate, capacity);
         let whole_tokens = self.fallback.tokens.floor();
--- a/crates/chicoryrail-policy/src/scheduler/load_view.rs
+++ b/crates/chicoryrail-policy/src/scheduler/load_view.rs
@@ -1,4 +1,4 @@
-//! All servers of a scheduler at one moment.
+//! Load of all servers of a scheduler at one moment.
 
 use std::cell::RefCell;
 
@@ -9,80 +9,80 @@
 use crate::scheduler::SlotRequest;
 use crate::scheduler::server_slots::ServerSlots;
 
-/// Cost of a server in another data centre, as a part of the work: traffic between data centres is paid for.
-/// Small against the differences between servers, so that it decides only between those alike.
+/// Cost of a server in another data centre, as a fraction of the work, because traffic between data centres is paid
+/// for. It is small against the differences between servers, so it decides only between similar ones.
 const REMOTE_COST: f64 = 0.1;
 
-/// The same for a request whose answer is large: traffic between data centres is dear, so one waits for a near server
-/// for as long as the work takes, well within its aim.
+/// The same cost for a request with a large answer. Traffic between data centres is expensive, so such a request waits
+/// for a server in its own data centre as long as the work itself takes, which is well within its latency target.
 const REMOTE_DOWNLOAD_COST: f64 = 1.0;
 
-/// All servers of a scheduler at one moment, worked out once for a whole queue.
+/// Load of all servers of a scheduler at one moment, computed once for a whole queue.
 ///
-/// Each request of the queue is weighed against each server several times. Worked out each time, a host would be late
-/// for every request as soon as many wait for many full servers.
+/// Each request in the queue is compared with each server several times. If the load were computed each time, a host
+/// with many requests waiting for many full servers would be late for every request.
 pub(crate) struct LoadView {
     now: Millis,
-    /// The servers that take work, by id.
+    /// Servers that accept work, sorted by identifier.
     servers: Vec<ServerLoad>,
-    /// Servers with a free slot.
-    free: usize,
-    /// Pace of all, and of those without a free slot.
-    pace: f64,
-    full_pace: f64,
-    /// The soonest answer of any server by the work of a request, as long as nothing is sent.
-    soonest: RefCell<Vec<(u64, f64)>>,
+    /// Number of servers with a free slot.
+    free_servers: usize,
+    /// Capacity of all servers, and of those without a free slot, in usual slots.
+    capacity: f64,
+    full_capacity: f64,
+    /// Cache of the earliest answer of any server by the work of a request. Sending a request invalidates it.
+    answer_cache: RefCell<Vec<(u64, f64)>>,
 }
 
-/// One server at one moment.
+/// Load of one server at one moment.
 struct ServerLoad {
     id: ServerId,
-    slow: f64,
+    slowness: f64,
     /// Time until a slot is free, in microseconds.
-    free_in: f64,
+    free_in_us: f64,
     has_slot: bool,
-    cold: bool,
-    /// How many tries a good answer takes, squared: a failure costs the caller more than the time.
-    tries: f64,
-    /// Cost of its filled slots, as a part of the work.
-    filled: f64,
-    /// The work that it does in the time in which one usual slot does one.
-    pace: f64,
-    near: u32,
+    warming_up: bool,
+    /// Expected number of tries until a successful answer, squared: a failure costs the caller more than the time.
+    retry_factor: f64,
+    /// Cost of its filled slots, as a fraction of the work.
+    fill_cost: f64,
+    /// Capacity in usual slots: the work that it does in the time in which a usual slot does one unit.
+    capacity: f64,
+    dc: u32,
 }
 
 impl LoadView {
-    /// Works out the servers that take work.
-    pub(crate) fn of<'a>(
+    /// Computes the load of the servers that accept work.
+    pub(crate) fn new<'a>(
         now: Millis,
         servers: impl Iterator<Item = (ServerId, &'a ServerSlots)>,
     ) -> Self {
         let open = servers.filter(|(_, s)| s.state.open);
-        let mut all = Self {
+        let mut view = Self {
             now,
-            servers: open.map(|(id, s)| ServerLoad::of(now, id, s)).collect(),
-            free: 0,
-            pace: 0.0,
-            full_pace: 0.0,
-            soonest: RefCell::default(),
+            servers: open.map(|(id, s)| ServerLoad::new(now, id, s)).collect(),
+            free_servers: 0,
+            capacity: 0.0,
+            full_capacity: 0.0,
+            answer_cache: RefCell::default(),
         };
-        all.pace = all.servers.iter().map(|g| g.pace).sum();
-        all.count();
-        all
+        view.capacity = view.servers.iter().map(|g| g.capacity).sum();
+        view.recount();
+        view
     }
 
-    fn count(&mut self) {
+    fn recount(&mut self) {
         let full = self.servers.iter().filter(|g| !g.has_slot);
-        self.full_pace = full.map(|g| g.pace).sum();
-        self.free = self.servers.iter().filter(|g| g.has_slot).count();
-        self.soonest.borrow_mut().clear();
+        self.full_capacity = full.map(|g| g.capacity).sum();
+        self.free_servers = self.servers.iter().filter(|g| g.has_slot).count();
+        self.answer_cache.borrow_mut().clear();
     }
 
-    /// Takes in that a request was sent to a server.
-    pub(crate) fn sent(&mut self, id: ServerId, slots: &ServerSlots) {
+    /// Updates the load of a server after a request was sent to it.
+    pub(crate) fn refresh(&mut self, id: ServerId, slots: &ServerSlots) {
         if let Ok(at) = self.servers.binary_search_by_key(&id, |g| g.id) {
-            self.servers[at] = ServerLoad::of(self.now, id, slots);
-            self.count();
+            self.servers[at] = ServerLoad::new(self.now, id, slots);
+            self.recount();
         }
     }
 
@@ -91,113 +91,120 @@
         Some(&self.servers[at])
     }
 
-    /// Returns the server that a request should go to now, if any, where `ahead` microseconds of work wait
-    /// before it.
+    /// Returns the server to send a request to now, if any, where `ahead_us` microseconds of work wait in front of it.
     ///
-    /// A slow server is left free where waiting for a faster one ends sooner. That is so for the first in
-    /// the queue at most: were it asked without those ahead, all would wait for the one fast server.
+    /// A slow server is left free if the request finishes earlier by waiting for a faster one. This holds at most for
+    /// the first requests in the queue: without counting the work ahead, all requests would wait for the one fast
+    /// server.
     pub(crate) fn server_for(
         &self,
-        ask: &SlotRequest,
-        place: Placement,
-        ahead: f64,
+        request: &SlotRequest,
+        placement: Placement,
+        ahead_us: f64,
     ) -> Option<ServerId> {
-        match place {
+        match placement {
             Placement::Any => {}
             Placement::Moving => return None,
             Placement::Owner(owner) => return self.server(owner)?.has_slot.then_some(owner),
         }
-        if self.free == 0 {
+        if self.free_servers == 0 {
             return None;
         }
-        // Those ahead wait for the full ones, too.
-        let shunned = ask.not.iter().filter_map(|id| self.server(*id));
-        let shunned: f64 = shunned.filter(|g| !g.has_slot).map(|g| g.pace).sum();
-        let behind = ahead / (self.full_pace - shunned).max(PACE_MIN);
+        // The requests ahead wait for the full servers, too.
+        let excluded = request.not.iter().filter_map(|id| self.server(*id));
+        let excluded: f64 = excluded.filter(|g| !g.has_slot).map(|g| g.capacity).sum();
+        let queue_wait = ahead_us / (self.full_capacity - excluded).max(CAPACITY_MIN);
         let mut best: Option<(f64, ServerId)> = None;
-        let mut wait = f64::INFINITY;
-        for load in self.servers.iter().filter(|g| !ask.not.contains(&g.id)) {
-            let cost = load.cost(ask);
+        let mut min_wait = f64::INFINITY;
+        for load in self.servers.iter().filter(|g| !request.not.contains(&g.id)) {
+            let cost = load.cost(request);
             if load.has_slot {
                 if best.is_none_or(|(c, _)| cost < c) {
                     best = Some((cost, load.id));
                 }
-            } else if !load.cold {
-                wait = wait.min(load.free_in + cost);
+            } else if !load.warming_up {
+                min_wait = min_wait.min(load.free_in_us + cost);
             }
         }
         let (cost, id) = best?;
-        (cost <= wait + behind).then_some(id)
+        (cost <= min_wait + queue_wait).then_some(id)
     }
 
-    /// Estimates when a request would be answered, in microseconds, if `ahead` microseconds of work went before
-    /// it; `None` where no server can take it.
-    pub(crate) fn answer_in(&self, ask: &SlotRequest, place: Placement, ahead: f64) -> Option<f64> {
-        if let Placement::Owner(owner) = place {
+    /// Estimates the time until a request is answered, in microseconds, behind `ahead_us` microseconds of work. Returns
+    /// `None` if no server can take it.
+    pub(crate) fn answer_in_us(
+        &self,
+        request: &SlotRequest,
+        placement: Placement,
+        ahead_us: f64,
+    ) -> Option<f64> {
+        if let Placement::Owner(owner) = placement {
             let load = self.server(owner)?;
-            return Some(load.answer_in(ask.work_us) + ahead / load.pace.max(PACE_MIN));
+            return Some(
+                load.answer_in_us(request.work_us) + ahead_us / load.capacity.max(CAPACITY_MIN),
+            );
         }
-        // Whoever holds a moving key next is about as fast as any.
-        let not: &[ServerId] = match place {
-            Placement::Any => &ask.not,
+        // The next owner of a moving key is assumed to be about as fast as any server.
+        let excluded: &[ServerId] = match placement {
+            Placement::Any => &request.not,
             _ => &[],
         };
-        if !not.is_empty() {
-            let fits = self.servers.iter().filter(|g| !not.contains(&g.id));
-            let first = fits.clone().map(|g| g.answer_in(ask.work_us));
-            let first = first.reduce(f64::min)?;
-            let pace: f64 = fits.map(|g| g.pace).sum();
-            return Some(first + ahead / pace.max(PACE_MIN));
+        if !excluded.is_empty() {
+            let eligible = self.servers.iter().filter(|g| !excluded.contains(&g.id));
+            let earliest = eligible.clone().map(|g| g.answer_in_us(request.work_us));
+            let earliest = earliest.reduce(f64::min)?;
+            let capacity: f64 = eligible.map(|g| g.capacity).sum();
+            return Some(earliest + ahead_us / capacity.max(CAPACITY_MIN));
         }
-        Some(self.soonest(ask.work_us)? + ahead / self.pace.max(PACE_MIN))
+        Some(self.earliest_answer(request.work_us)? + ahead_us / self.capacity.max(CAPACITY_MIN))
     }
 
-    fn soonest(&self, work_us: f64) -> Option<f64> {
-        let mut known = self.soonest.borrow_mut();
+    fn earliest_answer(&self, work_us: f64) -> Option<f64> {
+        let mut cached = self.answer_cache.borrow_mut();
         let bits = work_us.to_bits();
-        if let Some((_, first)) = known.iter().find(|(work, _)| *work == bits) {
-            return Some(*first);
+        if let Some((_, earliest)) = cached.iter().find(|(work, _)| *work == bits) {
+            return Some(*earliest);
         }
-        let first = self.servers.iter().map(|g| g.answer_in(work_us));
-        let first = first.reduce(f64::min)?;
-        known.push((bits, first));
-        Some(first)
+        let earliest = self.servers.iter().map(|g| g.answer_in_us(work_us));
+        let earliest = earliest.reduce(f64::min)?;
+        cached.push((bits, earliest));
+        Some(earliest)
     }
 }
 
-/// Pace that is assumed of no servers at all, so that what waits for them waits long.
-const PACE_MIN: f64 = 0.01;
+/// Capacity assumed if there are no servers, so that the estimated wait for them is long.
+const CAPACITY_MIN: f64 = 0.01;
 
 impl ServerLoad {
-    fn of(now: Millis, id: ServerId, slots: &ServerSlots) -> Self {
-        let good = (1.0 - slots.fails(now)).max(0.05);
-        // Of two servers alike, the emptier one: some slow down as they fill.
-        let filled = slots.busy() as f64 / f64::from(slots.state.slots.max(1)) * 0.05;
-        let slow = slots.slowness(now);
+    fn new(now: Millis, id: ServerId, slots: &ServerSlots) -> Self {
+        let success_rate = (1.0 - slots.failure_rate(now)).max(0.05);
+        // Of two equal servers, prefers the emptier one: some servers slow down as they fill.
+        let fill_cost = slots.busy() as f64 / f64::from(slots.state.slots.max(1)) * 0.05;
+        let slowness = slots.slowness(now);
         Self {
             id,
-            slow,
-            free_in: slots.free_in(now),
+            slowness,
+            free_in_us: slots.free_in_us(now),
             has_slot: slots.has_slot(now),
-            cold: now < slots.state.cold_until,
-            tries: 1.0 / (good * good),
-            filled,
-            pace: slots.pace(now),
-            near: slots.state.near,
+            warming_up: now < slots.state.cold_until,
+            retry_factor: 1.0 / (success_rate * success_rate),
+            fill_cost,
+            capacity: slots.capacity(now),
+            dc: slots.state.near,
         }
     }
 
-    /// Estimates the time to a good answer at a free server, in microseconds.
-    fn cost(&self, ask: &SlotRequest) -> f64 {
-        let far = match (self.near == ask.near, ask.large) {
+    /// Estimates the time to a successful answer at a free server, in microseconds.
+    fn cost(&self, request: &SlotRequest) -> f64 {
+        let remote_cost = match (self.dc == request.near, request.large) {
             (true, _) => 0.0,
             (false, false) => REMOTE_COST,
             (false, true) => REMOTE_DOWNLOAD_COST,
         };
-        ask.work_us * self.slow * (1.0 + self.filled + far) * self.tries
+        request.work_us * self.slowness * (1.0 + self.fill_cost + remote_cost) * self.retry_factor
     }
 
-    fn answer_in(&self, work_us: f64) -> f64 {
-        self.free_in + work_us * self.slow
+    fn answer_in_us(&self, work_us: f64) -> f64 {
+        self.free_in_us + work_us * self.slowness
     }
 }
--- a/crates/chicoryrail-policy/src/scheduler/mod.rs
+++ b/crates/chicoryrail-policy/src/scheduler/mod.rs
@@ -1,10 +1,9 @@
-//! One place that decides over all hosts which request goes to which server of a service.
+//! Scheduler that decides for all hosts which request goes to which server of a service.
 //!
-//! Hosts that send without asking each other see only a tenth of what a server gets: requests queue at
-//! some servers beside free slots at others, and no host knows who should go first. A [`Scheduler`] is asked
-//! before each send and told of each end, so it knows every slot exactly, keeps one queue, and keeps the
-//! bounds that hold over all hosts. Where it can't be reached, hosts fall back to
-//! [`SharedServers`](crate::SharedServers).
+//! Hosts that send without coordination each see only a tenth of a server's requests. Requests then queue at some
+//! servers while others have free slots, and no host knows which request should go first. A [`Scheduler`] receives a
+//! query before each send and a report after it, so it knows every slot exactly, keeps a single queue and enforces the
+//! limits that hold over all hosts. Hosts that can't reach it fall back to [`SharedServers`](crate::SharedServers).
 
 mod load_view;
 mod part_rooms;
--- a/crates/chicoryrail-policy/src/scheduler/part_rooms.rs
+++ b/crates/chicoryrail-policy/src/scheduler/part_rooms.rs
@@ -1,48 +1,49 @@
-//! How many slots of a service are free in each data centre.
+//! Free slots of a service in each data centre.
 
 use std::collections::BTreeMap;
 
 use chicoryrail_core::DcName;
 use chicoryrail_core::Millis;
 
-/// Age up to which a number of free slots is believed: three of the messages that tell it.
+/// Maximum age of a count of free slots: three intervals of the messages that carry it.
 const FREE_SLOTS_AGE_MAX: Millis = Millis(450);
 
-/// Part of another data centre's free slots that is used until they are told anew: all others may do the same.
+/// Divisor for the free slots of another data centre that may be used until the next count: all other hosts may use
+/// them at the same time.
 const FREE_SLOTS_DIVISOR: u32 = 2;
 
-/// Free slots of a service in the data centres that other hosts schedule, as told a moment ago.
+/// Free slots of a service in the data centres that other hosts schedule, by their last reports.
 ///
-/// Load: callers who are not spread over the data centres as the servers are, or a data centre whose servers are
-/// lost or cold. Harm prevented: requests wait or are refused in one beside free slots in another. A data centre that
-/// is not heard of gets nothing, so nothing is sent after one that is cut off.
+/// Guards against requests that wait or are refused in one data centre while another has free slots. This occurs if
+/// callers are distributed over the data centres differently from the servers, or if a data centre's servers are lost
+/// or warming up. A data centre without a recent report gets no requests, so none is sent to one that is cut off.
 #[derive(Clone, Debug, Default)]
 pub struct PartRooms {
-    rooms: BTreeMap<DcName, Room>,
+    by_dc: BTreeMap<DcName, FreeSlots>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Room {
+struct FreeSlots {
     free: u32,
-    heard: Millis,
+    received_at: Millis,
 }
 
 impl PartRooms {
-    /// Takes in how many slots are free in a data centre.
+    /// Records the number of free slots in a data centre.
     pub fn heard(&mut self, now: Millis, dc: &DcName, free: u32) {
-        let room = Room {
+        let slots = FreeSlots {
             free: free.div_ceil(FREE_SLOTS_DIVISOR),
-            heard: now,
+            received_at: now,
         };
-        self.rooms.insert(dc.clone(), room);
+        self.by_dc.insert(dc.clone(), slots);
     }
 
-    /// Takes a free slot of another data centre than `own`: of the one with most of them.
+    /// Takes a free slot of a data centre other than `own`: the one with the most free slots.
     pub fn take(&mut self, now: Millis, own: &DcName) -> Option<DcName> {
-        let others = self.rooms.iter_mut().filter(|(dc, _)| *dc != own);
-        let fresh = others.filter(|(_, room)| now.since(room.heard) <= FREE_SLOTS_AGE_MAX);
-        let (dc, room) = fresh.max_by_key(|(_, room)| room.free)?;
-        room.free = room.free.checked_sub(1)?;
+        let others = self.by_dc.iter_mut().filter(|(dc, _)| *dc != own);
+        let fresh = others.filter(|(_, slots)| now.since(slots.received_at) <= FREE_SLOTS_AGE_MAX);
+        let (dc, slots) = fresh.max_by_key(|(_, slots)| slots.free)?;
+        slots.free = slots.free.checked_sub(1)?;
         Some(dc.clone())
     }
 }
--- a/crates/chicoryrail-policy/src/scheduler/rate_bucket.rs
+++ b/crates/chicoryrail-policy/src/scheduler/rate_bucket.rs
@@ -1,51 +1,51 @@
-//! Deals requests to a server at the rate that it takes.
+//! Token bucket that limits the requests to a server to its advertised rate.
 
 use chicoryrail_core::Millis;
 
-/// Time over which requests that were not sent may be made good. Some servers name so low a rate that this is less than
-/// one request; one may always be sent at its time.
+/// Time over which unused tokens accumulate. For some advertised rates this is less than one token; the bucket always
+/// holds at least one.
 const BURST_TIME_MS: f64 = 250.0;
 
-/// Lowest rate that is dealt out. A server that gets nothing at all could not say that it takes more again.
+/// Lowest rate that is applied. A server that receives no request at all has no answer in which to raise its rate.
 const REQUESTS_PER_S_MIN: f64 = 0.25;
 
-/// The requests that a limited server may get at a moment.
+/// Token bucket of a server with a rate limit.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RateBucket {
     tokens: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
 impl RateBucket {
-    /// Returns a bucket that fills from now on: what others sent the server before is not known.
+    /// Returns an empty bucket that refills from now on, as the requests that other hosts sent before are unknown.
     pub(crate) const fn empty(now: Millis) -> Self {
         Self {
             tokens: 0.0,
-            at: now,
+            updated_at: now,
         }
     }
 
-    /// Tells whether a request may be sent.
+    /// Returns `true` if a request may be sent.
     pub(crate) fn has_token(&self, now: Millis, rate: f64) -> bool {
         self.tokens(now, rate) >= 1.0
     }
 
     /// Returns the time until a request may be sent, in microseconds.
-    pub(crate) fn token_in(&self, now: Millis, rate: f64) -> f64 {
-        let lacking = (1.0 - self.tokens(now, rate)).max(0.0);
-        lacking / rate.max(REQUESTS_PER_S_MIN) * 1_000_000.0
+    pub(crate) fn token_in_us(&self, now: Millis, rate: f64) -> f64 {
+        let missing = (1.0 - self.tokens(now, rate)).max(0.0);
+        missing / rate.max(REQUESTS_PER_S_MIN) * 1_000_000.0
     }
 
     /// Takes the token of a request that is sent.
     pub(crate) fn take(&mut self, now: Millis, rate: f64) {
         self.tokens = self.tokens(now, rate) - 1.0;
-        self.at = now;
+        self.updated_at = now;
     }
 
     fn tokens(&self, now: Millis, rate: f64) -> f64 {
         let rate = rate.max(REQUESTS_PER_S_MIN) / 1_000.0;
-        let most = (rate * BURST_TIME_MS).max(1.0);
-        let gained = now.since(self.at).0 as f64 * rate;
-        (self.tokens + gained).min(most)
+        let capacity = (rate * BURST_TIME_MS).max(1.0);
+        let refilled = now.since(self.updated_at).0 as f64 * rate;
+        (self.tokens + refilled).min(capacity)
     }
 }
--- a/crates/chicoryrail-policy/src/scheduler/scheduler.rs
+++ b/crates/chicoryrail-policy/src/scheduler/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one service.
+//! Scheduler of one service.
 
 use std::collections::BTreeMap;
 
@@ -13,38 +13,38 @@
 use crate::scheduler::load_view::LoadView;
 use crate::scheduler::server_slots::ServerSlots;
 
-/// Part of a caller's time for which a request may wait at the most: it must have time left to come back
-/// and be served elsewhere, should it be refused after all.
-const WAIT_TIME_PART: f64 = 0.6;
+/// Fraction of a caller's time that a request may wait at most. If it is refused after all, the caller must have time
+/// left to return and be served elsewhere.
+const WAIT_TIME_FRACTION: f64 = 0.6;
 
-/// Time for which requests must have waited at a place without a break before its queue counts as standing: a
-/// burst is over by then, and what waits longer is overload.
+/// Time for which requests must have waited without a break before a queue counts as standing: a burst is over by then,
+/// and a longer wait means overload.
 const STANDING_QUEUE_TIME: Millis = Millis(1_000);
 
-/// The scheduler of one service.
+/// Scheduler of one service.
 ///
-/// Load: more requests than slots, for moments or for good. Harm prevented: requests that can still be
-/// answered within their aim wait behind some that can't; requests wait until their callers give up,
-/// having kept a place all the while. The queue's order is: who can still meet its aim, by rank and then
-/// by the time left for it; then the others by deadline. What has no prospect of an answer in time is
-/// refused as soon as that is seen, with the time after which there may be room.
+/// If there are more requests than slots, briefly or permanently, this guards against two failures: requests that can
+/// still meet their latency target wait behind some that can't, and requests wait in the queue until their callers
+/// cancel. Requests that can still meet their latency target go first, by priority and then by that target; the others
+/// follow by deadline. A request that can't be answered in time is refused as soon as that is known, with the time
+/// after which there may be capacity.
 #[derive(Clone, Debug, Default)]
 pub struct Scheduler {
     servers: BTreeMap<ServerId, ServerSlots>,
-    waiting: Vec<Waiting>,
-    /// Servers whose keys' requests wait, and since when some always did.
-    queues: Vec<(Placement, Millis)>,
+    waiting: Vec<WaitingRequest>,
+    /// Owners with waiting requests for their keys, and the time since when at least one request has always waited.
+    key_queues: Vec<(Placement, Millis)>,
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
-    ask: SlotRequest,
+struct WaitingRequest {
+    request: SlotRequest,
     since: Millis,
-    place: Placement,
+    placement: Placement,
 }
 
 impl Scheduler {
-    /// Adds a server, or takes in its state.
+    /// Adds a server, or updates its state.
     pub fn set(&mut self, now: Millis, server: ServerId, state: SlotState) {
         self.servers
             .entry(server)
@@ -52,137 +52,153 @@
             .set(now, state);
     }
 
-    /// Forgets the servers that are not kept.
+    /// Removes the servers for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(ServerId) -> bool) {
         self.servers.retain(|id, _| keep(*id));
     }
 
-    /// Returns the number of servers that it knows.
+    /// Returns the number of known servers.
     #[must_use]
     pub fn servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// Takes in a request; [`Scheduler::poll`] says what becomes of it. One that asks again is the same one.
+    /// Enqueues a request; [`Scheduler::poll`] returns the decision on it. The call is idempotent by ticket.
     ///
-    /// Returns the server that it was given before, where the reply was lost.
-    pub fn ask(&mut self, now: Millis, ask: SlotRequest) -> Option<ServerId> {
+    /// Returns the server that the request was assigned to before, as the reply to an earlier query may have been lost.
+    pub fn ask(&mut self, now: Millis, request: SlotRequest) -> Option<ServerId> {
         let servers = self.servers.iter();
-        let given = servers
-            .filter(|(_, s)| s.holds(ask.ticket))
+        let assigned = servers
+            .filter(|(_, s)| s.has_request(request.ticket))
             .map(|(id, _)| *id)
             .next();
-        if given.is_none() && !self.waiting.iter().any(|w| w.ask.ticket == ask.ticket) {
-            self.waiting.push(Waiting {
-                ask,
+        if assigned.is_none()
+            && !self
+                .waiting
+                .iter()
+                .any(|w| w.request.ticket == request.ticket)
+        {
+            self.waiting.push(WaitingRequest {
+                request,
                 since: now,
-                place: Placement::Any,
+                placement: Placement::Any,
             });
         }
-        given
+        assigned
     }
 
-    /// Takes a request back whose caller has left.
+    /// Removes a request whose caller has cancelled.
     pub fn leave(&mut self, ticket: u64) {
-        self.waiting.retain(|w| w.ask.ticket != ticket);
+        self.waiting.retain(|w| w.request.ticket != ticket);
     }
 
-    /// Iterates over the requests that wait for the server of a key, with their keys.
+    /// Iterates over the tickets and keys of the requests that wait for the owner of a key.
     pub fn waiting_keys(&self) -> impl Iterator<Item = (u64, u16)> {
         let waiting = self.waiting.iter();
-        waiting.filter_map(|w| Some((w.ask.ticket, w.ask.key?)))
+        waiting.filter_map(|w| Some((w.request.ticket, w.request.key?)))
     }
 
-    /// Takes in how a send ended.
+    /// Records how a send ended.
     pub fn ended(&mut self, now: Millis, end: &SlotRelease) {
         if let Some(slots) = self.servers.get_mut(&end.server) {
-            slots.end(now, end.ticket, end.us, end.failure, end.report);
+            slots.release(now, end.ticket, end.us, end.failure, end.report);
         }
     }
 
-    /// Returns the verdicts that are due; `place` tells where a key's requests may go.
-    pub fn poll(&mut self, now: Millis, place: impl Fn(u16) -> Placement) -> Vec<(u64, Decision)> {
+    /// Returns the decisions that are due. `placement` returns where the requests of a key may go.
+    pub fn poll(
+        &mut self,
+        now: Millis,
+        placement: impl Fn(u16) -> Placement,
+    ) -> Vec<(u64, Decision)> {
         if self.waiting.is_empty() {
-            self.queues.clear();
+            self.key_queues.clear();
             return Vec::new();
         }
         for slots in self.servers.values_mut() {
             slots.expire(now);
         }
         let servers = self.servers.iter().map(|(id, slots)| (*id, slots));
-        let mut view = LoadView::of(now, servers);
+        let mut view = LoadView::new(now, servers);
         for waiting in &mut self.waiting {
-            waiting.place = waiting.ask.key.map_or(Placement::Any, &place);
+            waiting.placement = waiting.request.key.map_or(Placement::Any, &placement);
         }
-        self.order(now, &view);
-        let mut verdicts = Vec::new();
-        // Work of those that go before, by where they may go.
-        let mut ahead: Vec<(Placement, f64)> = Vec::new();
+        self.sort_queue(now, &view);
+        let mut decisions = Vec::new();
+        // Work of the requests ahead, by placement.
+        let mut work_ahead: Vec<(Placement, f64)> = Vec::new();
         let queue = std::mem::take(&mut self.waiting);
         for waiting in queue {
-            match self.judge(now, &waiting, &mut ahead, &mut view) {
-                Some(verdict) => verdicts.push((waiting.ask.ticket, verdict)),
+            match self.decide(now, &waiting, &mut work_ahead, &mut view) {
+                Some(decision) => decisions.push((waiting.request.ticket, decision)),
                 None => self.waiting.push(waiting),
             }
         }
-        self.note_queues(now);
-        verdicts
+        self.track_queues(now);
+        decisions
     }
 
-    /// Decides about one request, behind the work of those before it.
-    fn judge(
+    /// Decides on one request, behind the work of the requests ahead.
+    fn decide(
         &mut self,
         now: Millis,
-        waiting: &Waiting,
-        ahead: &mut Vec<(Placement, f64)>,
+        waiting: &WaitingRequest,
+        work_ahead: &mut Vec<(Placement, f64)>,
         view: &mut LoadView,
     ) -> Option<Decision> {
-        let Waiting { ask, place, .. } = waiting;
-        let at = ahead.iter().position(|(p, _)| p == place);
+        let WaitingRequest {
+            request, placement, ..
+        } = waiting;
+        let at = work_ahead.iter().position(|(p, _)| p == placement);
         let at = at.unwrap_or_else(|| {
-            ahead.push((*place, 0.0));
-            ahead.len() - 1
+            work_ahead.push((*placement, 0.0));
+            work_ahead.len() - 1
         });
-        if let Some(server) = view.server_for(ask, *place, ahead[at].1) {
+        if let Some(server) = view.server_for(request, *placement, work_ahead[at].1) {
             if let Some(slots) = self.servers.get_mut(&server) {
-                slots.send(now, ask.ticket, ask.deadline, ask.work_us);
-                view.sent(server, slots);
+                slots.record_send(now, request.ticket, request.deadline, request.work_us);
+                view.refresh(server, slots);
             }
             return Some(Decision::Send(server));
         }
-        if let Err(after) = self.prospect(now, waiting, ahead[at].1, view) {
+        if let Err(after) = self.check_wait(now, waiting, work_ahead[at].1, view) {
             return Some(Decision::Refuse(after));
         }
-        ahead[at].1 += ask.work_us;
+        work_ahead[at].1 += request.work_us;
         None
     }
 
-    /// Notes for which servers' keys requests wait, and for which none does any more.
-    fn note_queues(&mut self, now: Millis) {
-        let waits = |place: Placement| self.waiting.iter().any(|w| w.place == place);
-        self.queues.retain(|(place, _)| waits(*place));
+    /// Updates the servers with waiting requests for their keys.
+    fn track_queues(&mut self, now: Millis) {
+        let waits = |placement: Placement| self.waiting.iter().any(|w| w.placement == placement);
+        self.key_queues.retain(|(placement, _)| waits(*placement));
         for waiting in &self.waiting {
-            let keyed = matches!(waiting.place, Placement::Owner(_));
-            if keyed && !self.queues.iter().any(|(place, _)| *place == waiting.place) {
-                self.queues.push((waiting.place, now));
+            let keyed = matches!(waiting.placement, Placement::Owner(_));
+            if keyed
+                && !self
+                    .key_queues
+                    .iter()
+                    .any(|(placement, _)| *placement == waiting.placement)
+            {
+                self.key_queues.push((waiting.placement, now));
             }
         }
     }
 
-    /// Tells whether the one server that may take a key's requests has more to do than it can, for longer than
-    /// a burst lasts.
-    fn stands(&self, now: Millis, place: Placement) -> bool {
-        let mut queues = self.queues.iter().filter(|(p, _)| *p == place);
-        queues.any(|(_, since)| now.since(*since) >= STANDING_QUEUE_TIME)
+    /// Returns `true` if the one server that may serve a key's requests has been overloaded for longer than a burst
+    /// lasts.
+    fn has_standing_queue(&self, now: Millis, placement: Placement) -> bool {
+        let mut key_queues = self.key_queues.iter().filter(|(p, _)| *p == placement);
+        key_queues.any(|(_, since)| now.since(*since) >= STANDING_QUEUE_TIME)
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the requests at the servers for which this host schedules, and the slots of those that take work.
+    /// Returns the number of requests at the servers that this host schedules, and the slots of those that accept work.
     #[must_use]
     pub fn filled(&self) -> (usize, u32) {
         let servers = self.servers.values().filter(|s| s.state.ours);
@@ -194,64 +210,73 @@
         (busy, slots)
     }
 
-    /// Returns the slots that are free at this moment.
+    /// Returns the number of slots that are free now.
     #[must_use]
     pub fn free(&self, now: Millis) -> usize {
         let servers = self.servers.values();
-        servers.map(|s| s.free(now)).sum()
+        servers.map(|s| s.free_slots(now)).sum()
     }
 
-    /// Returns how fast a server is by what was seen of it: above 1 is slower than usual.
+    /// Returns the observed mean time of a server relative to a usual one: above 1 is slower than usual.
     #[must_use]
     pub fn speed(&self, server: ServerId) -> f64 {
-        self.servers.get(&server).map_or(1.0, ServerSlots::speed)
+        self.servers
+            .get(&server)
+            .map_or(1.0, ServerSlots::mean_slowness)
     }
 
-    /// Returns the usual slots that do as much work as a server's limit lets through; `None` where it names none.
+    /// Returns the number of usual slots that do as much work as a server's rate limit admits; `None` if it has no
+    /// limit.
     #[must_use]
     pub fn limited_slots(&self, server: ServerId) -> Option<f64> {
         self.servers.get(&server)?.limited_slots()
     }
 
     /// Sorts the queue; see [`Scheduler`].
-    fn order(&mut self, now: Millis, view: &LoadView) {
-        let key = |w: &Waiting| {
-            let soonest = view.answer_in(&w.ask, w.place, 0.0);
-            let in_time = soonest.is_some_and(|us| now + millis(us) <= w.ask.aim);
+    fn sort_queue(&mut self, now: Millis, view: &LoadView) {
+        let key = |w: &WaitingRequest| {
+            let earliest = view.answer_in_us(&w.request, w.placement, 0.0);
+            let in_time = earliest.is_some_and(|us| now + millis(us) <= w.request.aim);
             if in_time {
-                (0, w.ask.rank, w.ask.aim)
+                (0, w.request.rank, w.request.aim)
             } else {
-                (1, 0, w.ask.deadline)
+                (1, 0, w.request.deadline)
             }
         };
         self.waiting.sort_by_cached_key(key);
     }
 
-    /// Tells whether a request may go on waiting behind so much work; otherwise when there may be room.
-    fn prospect(
+    /// Checks whether a request may keep waiting behind `ahead_us` microseconds of work.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time after which there may be capacity.
+    fn check_wait(
         &self,
         now: Millis,
-        waiting: &Waiting,
-        ahead: f64,
+        waiting: &WaitingRequest,
+        ahead_us: f64,
         view: &LoadView,
     ) -> Result<(), Millis> {
-        let ask = &waiting.ask;
-        let left = ask.deadline.since(now).0 as f64 * 1_000.0;
-        let Some(us) = view.answer_in(ask, waiting.place, ahead) else {
-            return Err(millis(ask.work_us));
+        let request = &waiting.request;
+        let left_us = request.deadline.since(now).0 as f64 * 1_000.0;
+        let Some(answer_us) = view.answer_in_us(request, waiting.placement, ahead_us) else {
+            return Err(millis(request.work_us));
         };
-        // In a standing queue whoever can still meet its aim overtakes those that can't, so these would wait in
-        // vain. They are refused at once.
-        let in_aim = ask.aim.since(now).0 as f64 * 1_000.0;
-        if us > in_aim && self.stands(now, waiting.place) {
-            return Err(millis((us - in_aim).max(ask.work_us * 0.5)));
+        // In a standing queue, requests that can still meet their latency target overtake those that can't, so the
+        // latter would wait in vain. They are refused at once.
+        let latency_left = request.aim.since(now).0 as f64 * 1_000.0;
+        if answer_us > latency_left && self.has_standing_queue(now, waiting.placement) {
+            return Err(millis(
+                (answer_us - latency_left).max(request.work_us * 0.5),
+            ));
         }
-        let whole = ask.deadline.since(waiting.since).0 as f64;
+        let total = request.deadline.since(waiting.since).0 as f64;
         let waited = now.since(waiting.since).0 as f64;
-        if us <= left && waited <= whole * WAIT_TIME_PART {
+        if answer_us <= left_us && waited <= total * WAIT_TIME_FRACTION {
             return Ok(());
         }
-        Err(millis((us - left).max(ask.work_us * 0.5)))
+        Err(millis((answer_us - left_us).max(request.work_us * 0.5)))
     }
 }
 
--- a/crates/chicoryrail-policy/src/scheduler/server_slots.rs
+++ b/crates/chicoryrail-policy/src/scheduler/server_slots.rs
@@ -1,4 +1,4 @@
-//! What the scheduler knows of one server.
+//! State of one server at the scheduler.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -10,41 +10,42 @@
 use crate::scheduler::rate_bucket::RateBucket;
 use crate::shared::server_view::ServerView;
 
-/// Part of what a cold server bears that is used. While hosts hear different others, two of them may schedule
-/// for it.
-const COLD_BOUND_PART: f64 = 0.5;
+/// Fraction of the warm-up rate that is used. While hosts disagree about which hosts are alive, two of them may
+/// schedule the same server.
+const WARMUP_RATE_FRACTION: f64 = 0.5;
 
-/// Window of a cold server's bound, a little more than its second: requests are counted where they arrive.
-const COLD_WINDOW: Millis = Millis(1_120);
+/// Window of the warm-up rate. It is a little longer than the second of the rate, because requests are counted where
+/// they arrive.
+const WARMUP_WINDOW: Millis = Millis(1_120);
 
-/// Time after its deadline at which a request is taken for ended although nobody said so: the message of its
-/// end was lost, or its host was.
+/// Time after its deadline at which a request without a report counts as ended: the report, or the host that should
+/// have sent it, was lost.
 const END_MESSAGE_TIMEOUT: Millis = Millis(300);
 
-/// Part of a new request in the mean work of those sent.
+/// Weight of a new request in the mean work of the requests sent.
 const WORK_SMOOTHING: f64 = 0.05;
 
-/// What a server may get.
+/// State of a server that a scheduler needs to assign requests to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlotState {
-    /// Requests that it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub open: bool,
-    /// Until when it is cold.
+    /// End of its warm-up.
     pub cold_until: Millis,
-    /// Requests a second that it bears while it is cold.
+    /// Requests per second, from all hosts together, that it can process during its warm-up.
     pub cold_bound: f64,
-    /// Requests a second that it takes from all hosts together; `None` where it takes any.
+    /// Requests per second that it accepts from all hosts together; `None` without a limit.
     pub limit: Option<f64>,
-    /// Its data centre, by number.
+    /// Index of its data centre.
     pub near: u32,
-    /// Whether this host is the one that schedules for it. Another host may do so as well for a moment.
+    /// Whether this host schedules the server. Another host may do so as well for a moment.
     pub ours: bool,
 }
 
 impl SlotState {
-    /// Returns a warm server that takes any rate, and for which this host schedules.
+    /// Returns a warm server without a rate limit that this host schedules.
     #[must_use]
     pub const fn open(slots: u32) -> Self {
         Self {
@@ -59,26 +60,26 @@
     }
 }
 
-/// A request at a server.
+/// A request in flight at a server.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct InFlight {
     sent: Millis,
     deadline: Millis,
     work_us: f64,
 }
 
-/// What the scheduler knows of one server.
+/// State of one server at the scheduler.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerSlots {
     pub(crate) state: SlotState,
     view: ServerView,
-    held: HashMap<u64, Held>,
-    cold_sends: VecDeque<Millis>,
+    in_flight: HashMap<u64, InFlight>,
+    warmup_sends: VecDeque<Millis>,
     bucket: RateBucket,
     /// Mean work of the requests sent, in microseconds.
-    mean_work: f64,
-    /// Since when this host schedules for the server: what was sent before, it does not know.
-    since: Millis,
+    mean_work_us: f64,
+    /// Time at which this host began to schedule the server. Sends before it are unknown.
+    scheduling_since: Millis,
 }
 
 impl ServerSlots {
@@ -86,62 +87,63 @@
         Self {
             state,
             view: ServerView::new(state.slots),
-            held: HashMap::new(),
-            cold_sends: VecDeque::new(),
+            in_flight: HashMap::new(),
+            warmup_sends: VecDeque::new(),
             bucket: RateBucket::empty(now),
-            mean_work: 0.0,
-            since: now,
+            mean_work_us: 0.0,
+            scheduling_since: now,
         }
     }
 
-    /// Takes in what the server may get.
+    /// Updates the server's state.
     pub(crate) fn set(&mut self, now: Millis, state: SlotState) {
-        let begins = state.ours && !self.state.ours;
-        if begins {
-            self.since = now;
+        let starts = state.ours && !self.state.ours;
+        if starts {
+            self.scheduling_since = now;
         }
-        if begins || self.state.limit.is_none() {
+        if starts || self.state.limit.is_none() {
             self.bucket = RateBucket::empty(now);
         }
         self.state = state;
     }
 
-    /// Tells whether the server has the request.
-    pub(crate) fn holds(&self, ticket: u64) -> bool {
-        self.held.contains_key(&ticket)
+    /// Returns `true` if the request is in flight at the server.
+    pub(crate) fn has_request(&self, ticket: u64) -> bool {
+        self.in_flight.contains_key(&ticket)
     }
 
-    /// Returns the number of requests at the server.
+    /// Returns the number of requests in flight at the server.
     pub(crate) fn busy(&self) -> usize {
-        self.held.len()
+        self.in_flight.len()
     }
 
-    /// Estimates how long work takes here, relative to a usual server.
+    /// Estimates the time for work here, relative to a usual server.
     pub(crate) fn slowness(&self, now: Millis) -> f64 {
         self.view.slowness(now)
     }
 
-    /// Returns the mean speed alone, without the pace of the moment.
-    pub(crate) fn speed(&self) -> f64 {
-        self.view.speed
+    /// Returns the mean time for work, relative to a usual server, without the momentary slowdown.
+    pub(crate) fn mean_slowness(&self) -> f64 {
+        self.view.mean_slowness
     }
 
-    /// Estimates the share of requests that fail.
-    pub(crate) fn fails(&self, now: Millis) -> f64 {
-        self.view.fails(now)
+    /// Estimates the fraction of requests that fail.
+    pub(crate) fn failure_rate(&self, now: Millis) -> f64 {
+        self.view.failure_rate(now)
     }
 
-    /// Tells whether a request may be sent now.
+    /// Returns `true` if a request may be sent now.
     pub(crate) fn has_slot(&self, now: Millis) -> bool {
         self.state.open
-            && !self.view.rests(now)
+            && !self.view.is_paused(now)
             && self.busy() < self.state.slots as usize
-            && self.bears(now)
-            && self.is_in_limit(now)
+            && self.is_within_warmup_rate(now)
+            && self.is_within_limit(now)
     }
 
-    /// Returns the slots that are free; of a cold or limited server one, since it may bear no second.
-    pub(crate) fn free(&self, now: Millis) -> usize {
+    /// Returns the number of free slots; at most one for a server that warms up or has a rate limit, as it may not
+    /// accept a second request.
+    pub(crate) fn free_slots(&self, now: Millis) -> usize {
         if !self.has_slot(now) {
             0
         } else if now < self.state.cold_until || self.state.limit.is_some() {
@@ -151,117 +153,120 @@
         }
     }
 
-    /// Tells whether the server's coldness leaves room for one more.
-    fn bears(&self, now: Millis) -> bool {
+    /// Returns `true` if the warm-up rate allows one more request.
+    fn is_within_warmup_rate(&self, now: Millis) -> bool {
         if now >= self.state.cold_until {
             return true;
         }
-        // Others may have sent to it in the second before this host began to schedule for it.
-        if !self.state.ours || now.since(self.since) < COLD_WINDOW {
+        // Other hosts may have sent requests in the second before this host began to schedule the server.
+        if !self.state.ours || now.since(self.scheduling_since) < WARMUP_WINDOW {
             return false;
         }
         let recent = self
-            .cold_sends
+            .warmup_sends
             .iter()
-            .filter(|t| now.since(**t) < COLD_WINDOW);
-        ((recent.count() + 1) as f64) <= self.state.cold_bound * COLD_BOUND_PART
+            .filter(|t| now.since(**t) < WARMUP_WINDOW);
+        ((recent.count() + 1) as f64) <= self.state.cold_bound * WARMUP_RATE_FRACTION
     }
 
-    /// Tells whether the rate that the server takes leaves room for one more. Where another host schedules for it,
-    /// that one deals the rate out.
-    fn is_in_limit(&self, now: Millis) -> bool {
+    /// Returns `true` if the server's rate limit allows one more request. If another host schedules the server, only
+    /// that host may spend the rate.
+    fn is_within_limit(&self, now: Millis) -> bool {
         let within = |rate| self.state.ours && self.bucket.has_token(now, rate);
         self.state.limit.is_none_or(within)
     }
 
-    /// Returns the work that the server does in the time in which one usual slot does one.
-    pub(crate) fn pace(&self, now: Millis) -> f64 {
+    /// Returns the capacity in usual slots: the work that the server does in the time in which a usual slot does one
+    /// unit.
+    pub(crate) fn capacity(&self, now: Millis) -> f64 {
         let slots = f64::from(self.state.slots) / self.slowness(now);
         self.limited_slots().map_or(slots, |l| l.min(slots))
     }
 
-    /// Returns the usual slots that do as much work as the server's limit lets through; `None` where it has none.
+    /// Returns the number of usual slots that do as much work as the server's rate limit admits; `None` without a
+    /// limit.
     pub(crate) fn limited_slots(&self) -> Option<f64> {
         let rate = self.state.limit?;
-        Some(rate * self.mean_work / 1_000_000.0)
+        Some(rate * self.mean_work_us / 1_000_000.0)
     }
 
-    /// Estimates the time until a request may be sent, in microseconds; 0 where it may now.
-    pub(crate) fn free_in(&self, now: Millis) -> f64 {
+    /// Estimates the time until a request may be sent, in microseconds; 0 if it may be sent now.
+    pub(crate) fn free_in_us(&self, now: Millis) -> f64 {
         let limit = self.state.limit;
-        let token = limit.map_or(0.0, |rate| self.bucket.token_in(now, rate));
-        self.slot_in(now).max(token)
+        let token = limit.map_or(0.0, |rate| self.bucket.token_in_us(now, rate));
+        self.slot_in_us(now).max(token)
     }
 
-    fn slot_in(&self, now: Millis) -> f64 {
+    fn slot_in_us(&self, now: Millis) -> f64 {
         let slots = self.state.slots as usize;
         if self.busy() < slots {
             return 0.0;
         }
-        let slow = self.slowness(now);
-        let left = self.held.values().map(|h| {
-            let passed = now.since(h.sent).0 as f64 * 1_000.0;
-            // Work that outlasts its estimate lasts a while longer.
-            (h.work_us * slow - passed).max(h.work_us * 0.25)
+        let slowness = self.slowness(now);
+        let remaining = self.in_flight.values().map(|h| {
+            let elapsed_us = now.since(h.sent).0 as f64 * 1_000.0;
+            // Work that exceeds its estimate is assumed to take another quarter of the estimate.
+            (h.work_us * slowness - elapsed_us).max(h.work_us * 0.25)
         });
-        let mut left: Vec<f64> = left.collect();
-        left.sort_by(f64::total_cmp);
-        left[self.busy() - slots]
+        let mut remaining: Vec<f64> = remaining.collect();
+        remaining.sort_by(f64::total_cmp);
+        remaining[self.busy() - slots]
     }
 
-    pub(crate) fn send(&mut self, now: Millis, ticket: u64, deadline: Millis, work_us: f64) {
-        let held = Held {
+    pub(crate) fn record_send(&mut self, now: Millis, ticket: u64, deadline: Millis, work_us: f64) {
+        let in_flight = InFlight {
             sent: now,
             deadline,
             work_us,
         };
-        self.held.insert(ticket, held);
+        self.in_flight.insert(ticket, in_flight);
         if let Some(rate) = self.state.limit {
             self.bucket.take(now, rate);
         }
-        let smoothing = if self.mean_work > 0.0 {
+        let smoothing = if self.mean_work_us > 0.0 {
             WORK_SMOOTHING
         } else {
             1.0
         };
-        self.mean_work += (work_us - self.mean_work) * smoothing;
+        self.mean_work_us += (work_us - self.mean_work_us) * smoothing;
         while self
-            .cold_sends
+            .warmup_sends
             .front()
-            .is_some_and(|t| now.since(*t) >= COLD_WINDOW)
+            .is_some_and(|t| now.since(*t) >= WARMUP_WINDOW)
         {
-            self.cold_sends.pop_front();
+            self.warmup_sends.pop_front();
         }
-        self.cold_sends.push_back(now);
+        self.warmup_sends.push_back(now);
     }
 
-    /// Takes in the end of a request; one that the scheduler does not know was sent without it.
-    pub(crate) fn end(
+    /// Records the end of a request. A request without an entry was sent without this scheduler.
+    pub(crate) fn release(
         &mut self,
         now: Millis,
         ticket: u64,
-        us: Option<f64>,
+        answer_us: Option<f64>,
         failure: Option<Failure>,
         report: Option<LoadReport>,
     ) {
-        let held = self.held.remove(&ticket);
+        let in_flight = self.in_flight.remove(&ticket);
         if let Some(report) = report {
-            self.view.heard(now, report);
+            self.view.apply_report(now, report);
         }
-        match (failure, held) {
-            (Some(failure), _) => self.view.failed(now, failure),
-            (None, Some(held)) => {
-                if let Some(us) = us {
-                    self.view.took(now, us, held.work_us, true);
+        match (failure, in_flight) {
+            (Some(failure), _) => self.view.record_failure(now, failure),
+            (None, Some(in_flight)) => {
+                if let Some(answer_us) = answer_us {
+                    self.view
+                        .record_answer(now, answer_us, in_flight.work_us, true);
                 }
             }
             (None, None) => {}
         }
     }
 
-    /// Forgets requests whose end nobody told.
+    /// Removes requests for which no report of their end arrived.
     pub(crate) fn expire(&mut self, now: Millis) {
-        self.held
+        self.in_flight
             .retain(|_, h| now < h.deadline + END_MESSAGE_TIMEOUT);
     }
 }
--- a/crates/chicoryrail-policy/src/scheduler/slot_request.rs
+++ b/crates/chicoryrail-policy/src/scheduler/slot_request.rs
@@ -1,4 +1,4 @@
-//! What hosts ask, and what they are told.
+//! Queries of hosts for a slot, and the decisions on them.
 
 use chicoryrail_core::Millis;
 
@@ -6,61 +6,61 @@
 use crate::LoadReport;
 use crate::ServerId;
 
-/// A request that asks for a server; times count on the scheduler's clock.
+/// Query of a request for a slot at a server. Times are on the scheduler's clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotRequest {
-    /// Names the request among all hosts.
+    /// Identifies the request among all hosts.
     pub ticket: u64,
-    /// Rank when there is not room for all; 0 goes first.
+    /// Priority if there is not enough capacity for all requests; 0 goes first.
     pub rank: u8,
-    /// Until when an answer is worth most to the caller.
+    /// Latency target: the moment until which an answer has its full value to the caller.
     pub aim: Millis,
-    /// When the caller gives up.
+    /// Moment at which the caller cancels.
     pub deadline: Millis,
-    /// How long a usual server works on it, in microseconds.
+    /// Time that a usual server needs for it, in microseconds.
     pub work_us: f64,
-    /// Its key, for a keyed service.
+    /// Its shard key; `None` if the service is not keyed.
     pub key: Option<u16>,
-    /// Servers that had it before and should not get it again.
+    /// Servers that had the request before and should not receive it again.
     pub not: Vec<ServerId>,
-    /// Data centre of the host that asks, by number.
+    /// Index of the querying host's data centre.
     pub near: u32,
     /// Whether its answer is large.
     pub large: bool,
 }
 
-/// Where a request may go.
+/// Servers that a request may be sent to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Placement {
-    /// To any server of the service.
+    /// Any server of the service.
     #[default]
     Any,
-    /// To the one that holds its key.
+    /// Only the owner of its key.
     Owner(ServerId),
-    /// Nowhere for the moment: its key changes hands.
+    /// None at the moment, as its key is moving to another owner.
     Moving,
 }
 
-/// What becomes of a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is to be sent to this server now.
+    /// Send it to this server now.
     Send(ServerId),
-    /// There is no room before its time is up; it may be after this time.
+    /// No capacity is expected in time; there may be some after this duration.
     Refuse(Millis),
 }
 
-/// How a send ended.
+/// Report of the end of a send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlotRelease {
-    /// The request.
+    /// Ticket of the request.
     pub ticket: u64,
-    /// The server that had it.
+    /// Server that had the request.
     pub server: ServerId,
-    /// Time from the send to the answer in microseconds; `None` where the caller left before.
+    /// Time from the send to the answer, in microseconds; `None` if the caller cancelled before.
     pub us: Option<f64>,
-    /// How it failed; `None` for an answer.
+    /// Failure of the send; `None` for an answer.
     pub failure: Option<Failure>,
-    /// What the server said of its load.
+    /// Load that the server reported with its answer.
     pub report: Option<LoadReport>,
 }
--- a/crates/chicoryrail-policy/src/shared/cold_pace.rs
+++ b/crates/chicoryrail-policy/src/shared/cold_pace.rs
@@ -1,36 +1,35 @@
-//! How often a host may send to a cold server.
+//! Limits how often a host sends to a server that warms up.
 
 use chicoryrail_core::Millis;
 
-/// Length of a host's second. Requests are counted where they arrive: two that were sent a second apart
-/// may arrive closer together, by the jitter of a loaded host and its links.
-const COLD_SECOND_MS: f64 = 1_120.0;
+/// Length of a second at the sending host, in milliseconds. Requests are counted where they arrive: two that were sent
+/// a second apart may arrive closer together, by the jitter of a loaded host and its links.
+const WARMUP_SECOND_MS: f64 = 1_120.0;
 
-/// The pace of one host towards one cold server.
+/// Rate limiter of one host for one server that warms up.
 ///
-/// Load: a data centre comes back cold at full traffic, and every host sends to each of its servers.
-/// Harm prevented: together they send a cold server more than it bears, and it falls over again. Each
-/// host keeps to its part of the bound by itself, so the bound also holds between hosts that can't hear
-/// each other.
+/// Guards against overload when a data centre restarts under full traffic and every host sends to each of its servers.
+/// Together the hosts would send more than a server can process during its warm-up, and it would fail again. Each host
+/// keeps to its share of the rate on its own, so the rate also holds between hosts that can't reach each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ColdPace {
-    next: Millis,
+    next_send: Millis,
 }
 
 impl ColdPace {
-    /// Tells whether a request may be sent now, and takes it where it may.
+    /// Returns `true` if a request may be sent now, and counts it as sent.
     ///
-    /// `bound` is what the server bears in one second from all `hosts` together.
+    /// `bound` is the number of requests per second, from all `hosts` together, that the server can process.
     pub fn take(&mut self, now: Millis, bound: f64, hosts: usize) -> bool {
-        if now < self.next || bound <= 0.0 {
+        if now < self.next_send || bound <= 0.0 {
             return false;
         }
         let hosts = hosts.max(1) as f64;
-        // In the worst case all hosts send in the same moment, and windows slide: so each sends a whole
-        // number in any second. Above one host for each request of the bound no whole number fits, and
-        // the hosts' moments are left to chance.
-        let each = (bound / hosts).floor().max((bound / hosts).min(1.0));
-        self.next = now + Millis((COLD_SECOND_MS / each).ceil() as u64);
+        // In the worst case all hosts send at the same moment, and windows slide. So each host sends a whole number of
+        // requests in any second. With more hosts than requests in the bound no whole number fits, and the moments of
+        // the hosts' sends are random.
+        let per_host = (bound / hosts).floor().max((bound / hosts).min(1.0));
+        self.next_send = now + Millis((WARMUP_SECOND_MS / per_host).ceil() as u64);
         true
     }
 }
--- a/crates/chicoryrail-policy/src/shared/load_report.rs
+++ b/crates/chicoryrail-policy/src/shared/load_report.rs
@@ -1,20 +1,21 @@
-//! What a server says of its load.
+//! Load that a server reports.
 
-/// What a server says of its load with an answer.
+/// Load that a server reports with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Number of requests that it processes.
     pub running: u32,
-    /// Requests that wait at it.
+    /// Number of requests that wait at it.
     pub waiting: u32,
-    /// Requests that it works on at a time.
+    /// Number of requests that it processes concurrently at most.
     pub slots: u32,
-    /// How long work takes at this moment, in percent of the usual time.
+    /// Current time for work, in percent of the usual time.
     pub pace: u32,
 }
 
 impl LoadReport {
-    /// Reads `running,waiting,slots[,pace]`; `None` where it is anything else.
+    /// Parses `running,waiting,slots[,pace]`; returns `None` for any other text. Without `pace` the time is the usual
+    /// one.
     ///
     /// # Example
     ///
@@ -28,8 +29,8 @@
     /// ```
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
-        let mut figures = text.split(',').map(|f| f.trim().parse::<u32>());
-        let mut next = || figures.next().transpose().ok();
+        let mut numbers = text.split(',').map(|f| f.trim().parse::<u32>());
+        let mut next = || numbers.next().transpose().ok();
         let running = next()??;
         let waiting = next()??;
         let slots = next()??;
--- a/crates/chicoryrail-policy/src/shared/mod.rs
+++ b/crates/chicoryrail-policy/src/shared/mod.rs
@@ -1,8 +1,8 @@
-//! Servers that many hosts send to at the same time, without asking each other.
+//! Load balancing over servers that many hosts send to without coordination.
 //!
-//! A host knows exactly what it has in flight itself, and learns of the others' work from the load that
-//! a server tells with each answer. [`SharedServers`] picks among the servers of a service, [`ColdPace`]
-//! and [`SharedRetries`] keep a host to its part of a bound that holds over all hosts together.
+//! A host knows its own requests in flight exactly, and learns of those of other hosts from the load that a server
+//! reports with each answer. [`SharedServers`] selects among the servers of a service; [`ColdPace`] and
+//! [`SharedRetries`] limit a host to its share of a bound that holds over all hosts together.
 
 mod cold_pace;
 mod load_report;
--- a/crates/chicoryrail-policy/src/shared/retries.rs
+++ b/crates/chicoryrail-policy/src/shared/retries.rs
@@ -1,22 +1,21 @@
-//! A host's part of the repeats that a service bears.
+//! Retry budget of a host for one service.
 
 use std::collections::VecDeque;
 
 use chicoryrail_core::Millis;
 
-/// Part of the bound that is used: a host counts requests and repeats when it sends them, the bound
-/// counts them where they arrive.
-const PART: f64 = 0.8;
+/// Fraction of the bound that is used: a host counts requests and retries when it sends them, but the bound counts them
+/// where they arrive.
+const BOUND_FRACTION: f64 = 0.8;
 
 /// Length of one step of the window.
-const STEP: Millis = Millis(500);
+const STEP_LENGTH: Millis = Millis(500);
 
-/// A host's repeats of one service's requests.
+/// Retry budget of a host for one service.
 ///
-/// Load: servers of a service fail or refuse, and every request is sent a second time. Harm prevented:
-/// the repeats are the load that keeps the servers down. Over a window, repeats stay under a share of the
-/// host's own requests and its part of a fixed allowance; so the bound holds over all hosts without any
-/// talk between them.
+/// Guards against retry storms: if servers of a service fail or refuse and every request is sent a second time, the
+/// retries are the load that keeps the servers down. Over a window, retries stay below a fraction of the host's own
+/// requests plus its share of a fixed allowance. So the bound holds over all hosts without communication between them.
 #[derive(Clone, Debug, Default)]
 pub struct SharedRetries {
     steps: VecDeque<Step>,
@@ -26,43 +25,43 @@
 struct Step {
     at: Millis,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// The bound on repeats.
+/// Bound on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBound {
-    /// Repeats for each request of the window.
+    /// Retries per request in the window.
     pub ratio: f64,
-    /// Repeats beside those, over all hosts.
+    /// Retries in addition to those, over all hosts.
     pub slack: f64,
     /// Length of the window.
     pub window: Millis,
-    /// Hosts that share the allowance.
+    /// Number of hosts that share the additional retries.
     pub hosts: usize,
 }
 
 impl SharedRetries {
-    /// Takes in a request of a caller.
+    /// Records a caller's request.
     pub fn request(&mut self, now: Millis, bound: &RetryBound) {
-        self.step(now, bound).requests += 1;
+        self.current_step(now, bound).requests += 1;
     }
 
-    /// Tells whether a request may be sent again, and takes the repeat where it may.
+    /// Returns `true` if a request may be sent again, and counts the retry.
     pub fn take(&mut self, now: Millis, bound: &RetryBound) -> bool {
-        self.step(now, bound);
+        self.current_step(now, bound);
         let requests: u32 = self.steps.iter().map(|s| s.requests).sum();
-        let repeats: u32 = self.steps.iter().map(|s| s.repeats).sum();
-        let own = bound.ratio * f64::from(requests) + bound.slack / bound.hosts.max(1) as f64;
-        let may = f64::from(repeats + 1) <= own * PART;
-        if may {
-            self.step(now, bound).repeats += 1;
+        let retries: u32 = self.steps.iter().map(|s| s.retries).sum();
+        let own_bound = bound.ratio * f64::from(requests) + bound.slack / bound.hosts.max(1) as f64;
+        let is_allowed = f64::from(retries + 1) <= own_bound * BOUND_FRACTION;
+        if is_allowed {
+            self.current_step(now, bound).retries += 1;
         }
-        may
+        is_allowed
     }
 
-    fn step(&mut self, now: Millis, bound: &RetryBound) -> &mut Step {
-        let at = Millis(now.0 / STEP.0 * STEP.0);
+    fn current_step(&mut self, now: Millis, bound: &RetryBound) -> &mut Step {
+        let at = Millis(now.0 / STEP_LENGTH.0 * STEP_LENGTH.0);
         while self
             .steps
             .front()
@@ -74,7 +73,7 @@
             self.steps.push_back(Step {
                 at,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         let last = self.steps.len() - 1;
--- a/crates/chicoryrail-policy/src/shared/return_time.rs
+++ b/crates/chicoryrail-policy/src/shared/return_time.rs
@@ -1,23 +1,24 @@
-//! When a refused caller should come back.
+//! Time after which a refused caller should retry.
 
 use chicoryrail_core::Millis;
 use rand::Rng;
 
-/// Shortest time after which a caller is asked back: sooner, the queue that had no room is the same one.
+/// Shortest time after which a caller is asked to retry. Earlier than that, it would meet the same full queue.
 const RETRY_AFTER_MIN: Millis = Millis(40);
 
-/// Part of its time that a caller waits at most before it returns; it must have time left to be served.
+/// Divisor for the caller's remaining time: it waits at most this fraction before it retries, as it must have time left
+/// to be served.
 const RETRY_AFTER_DIVISOR: u64 = 3;
 
-/// Returns when a refused caller should come back, given when room is expected and what it has left.
+/// Returns the time after which a refused caller should retry, from the expected wait for capacity and the time that
+/// the caller has left.
 ///
-/// Load: more callers than there is room for, all refused within the same moment. Harm prevented: all of
-/// them return in the same moment, and most are refused a second time, for good. The returns are spread
-/// over a time as long as the wait for room itself.
-pub fn return_time(rng: &mut impl Rng, room_in: Millis, left: Millis) -> Millis {
-    let latest = Millis(left.0 / RETRY_AFTER_DIVISOR);
-    let first = room_in.max(RETRY_AFTER_MIN).min(latest);
-    let last = (first + room_in.max(RETRY_AFTER_MIN)).min(latest);
+/// Guards against callers that are refused at the same moment, all retry at the same moment, and are mostly refused
+/// again, this time for good. The retries are spread over an interval as long as the wait for capacity.
+pub fn return_time(rng: &mut impl Rng, capacity_in: Millis, time_left: Millis) -> Millis {
+    let latest = Millis(time_left.0 / RETRY_AFTER_DIVISOR);
+    let first = capacity_in.max(RETRY_AFTER_MIN).min(latest);
+    let last = (first + capacity_in.max(RETRY_AFTER_MIN)).min(latest);
     if last <= first {
         return first;
     }
--- a/crates/chicoryrail-policy/src/shared/server_limit.rs
+++ b/crates/chicoryrail-policy/src/shared/server_limit.rs
@@ -1,30 +1,30 @@
-//! How many requests a second a server takes.
+//! Rate limit that a server advertises.
 
 use chicoryrail_core::Millis;
 
-/// Time since a limit was last named for which answers without one don't lift it: answers of several hosts overtake each
-/// other, and not each answer need name it.
+/// Time after the last advertised limit during which answers without one don't remove it: answers to several hosts
+/// overtake each other, and not every answer must carry the limit.
 const LIMIT_HOLD_TIME: Millis = Millis(2_000);
 
-/// Time since a limit was last named after which it is forgotten, whatever was heard. A host that sends the server
-/// nothing hears nothing of it.
-const LIMIT_MEMORY_TIME: Millis = Millis(10_000);
+/// Time after which a limit that is not advertised again expires in any case. A host that sends the server no requests
+/// receives no answers from it.
+const LIMIT_EXPIRY_TIME: Millis = Millis(10_000);
 
-/// What an answer says of the rate that its server takes.
+/// Rate that a server's answer advertises.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RateNotice {
-    /// Any.
+    /// Any rate.
     Unlimited,
-    /// So many requests a second from all hosts together.
+    /// Requests per second from all hosts together.
     Limited(f64),
 }
 
 impl RateNotice {
-    /// Reads the value of an answer's header, `None` where it has none; an error returns the text that is no rate.
+    /// Parses the value of an answer's header; `None` stands for an answer without the header.
     ///
     /// # Errors
     ///
-    /// Returns the value where it is no number of 0 or more.
+    /// Returns the value if it is not a finite number of at least 0.
     ///
     /// # Example
     ///
@@ -46,32 +46,32 @@
     }
 }
 
-/// The rate that a server takes, by what its answers said.
+/// Rate limit of a server, as advertised by its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLimit {
     rate: Option<f64>,
-    named: Millis,
+    seen_at: Millis,
 }
 
 impl ServerLimit {
-    /// Takes in what an answer said; tells whether the limit changed.
+    /// Applies the rate that an answer advertises. Returns `true` if the limit changed.
     pub fn heard(&mut self, now: Millis, notice: RateNotice) -> bool {
         let before = self.rate(now);
         match notice {
             RateNotice::Limited(rate) => {
                 self.rate = Some(rate);
-                self.named = now;
+                self.seen_at = now;
             }
-            RateNotice::Unlimited if now.since(self.named) >= LIMIT_HOLD_TIME => self.rate = None,
+            RateNotice::Unlimited if now.since(self.seen_at) >= LIMIT_HOLD_TIME => self.rate = None,
             RateNotice::Unlimited => {}
         }
         self.rate(now) != before
     }
 
-    /// Returns the requests a second that the server takes from all hosts together; `None` where it takes any.
+    /// Returns the requests per second that the server accepts from all hosts together; `None` without a limit.
     #[must_use]
     pub fn rate(&self, now: Millis) -> Option<f64> {
-        let remembered = now.since(self.named) <= LIMIT_MEMORY_TIME;
-        self.rate.filter(|_| remembered)
+        let is_current = now.since(self.seen_at) <= LIMIT_EXPIRY_TIME;
+        self.rate.filter(|_| is_current)
     }
 }
--- a/crates/chicoryrail-policy/src/shared/weights.rs
+++ b/crates/chicoryrail-policy/src/shared/weights.rs
@@ -1,10 +1,10 @@
-//! Whose turn it is among weighted parts.
+//! Weighted round robin.
 
-/// Deals requests among parts by their weights, as evenly as possible.
+/// Distributes requests among choices by their weights, as evenly as possible.
 ///
-/// Load: a host gets a few requests a second on a route with parts of 90 and 10. Harm prevented: drawn by
-/// chance, a part of 10 in 100 gets half or twice its share over some seconds; dealt in turns, it is
-/// never more than one request off.
+/// Guards against uneven shares on a route with a few requests per second. With weights of 90 and 10, random selection
+/// gives the choice of weight 10 half or twice its share over some seconds; in turns, the error is never more than one
+/// request.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedTurn {
     weights: Vec<u32>,
@@ -12,8 +12,8 @@
 }
 
 impl WeightedTurn {
-    /// Returns the index of the part whose turn it is. `start` (0 to 1) shifts the first turn, so that many
-    /// hosts do not all begin with the heaviest part.
+    /// Returns the index of the next choice. `start` (0 to 1) shifts the first turn, so that many hosts don't all begin
+    /// with the choice of the greatest weight.
     pub fn next(&mut self, weights: &[u32], start: f64) -> usize {
         let total: i64 = weights.iter().map(|w| i64::from(*w)).sum();
         if self.weights != weights {
