--- a/crates/chicoryrail-policy/src/lib.rs
+++ b/crates/chicoryrail-policy/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A [`Scheduler`] decides for all hosts which request goes to which server of a service, which requests wait and which
 //! are refused. [`SharedServers`] selects servers for one host that can't reach the scheduler, among servers that other
-//! hosts send to as well. Time and random numbers are arguments: nothing here opens a socket or reads a clock, so a test
-//! simulates any load without waiting.
+//! hosts send to as well. Time and random numbers are arguments: nothing here opens a socket or reads a clock, so a
+//! test simulates any load without waiting.
 //!
 //! # Example
 //!
@@ -31,8 +31,8 @@
 //! [`KeyIndex`] finds the organisation of a request, [`Freshness`] checks that this is still up to date, and
 //! [`QuotaPool`] and [`QuotaShare`] keep organisations within their limits over all hosts.
 //!
-//! See also [`ColdPace`] for servers that warm up, [`SharedRetries`] for retries, and [`return_time`] for the time after
-//! which a refused caller retries.
+//! See also [`ColdPace`] for servers that warm up, [`SharedRetries`] for retries, and [`return_time`] for the time
+//! after which a refused caller retries.
 
 mod admission;
 mod quota;
--- a/crates/chicoryrail-policy/src/quota/allowance.rs
+++ b/crates/chicoryrail-policy/src/quota/allowance.rs
@@ -12,7 +12,7 @@
 /// Accumulated tokens per scheduler below which no scheduler holds tokens without demand.
 const BASE_TOKENS_MIN: f64 = 1.0;
 
-/// Fraction of the tokens that may accumulate which schedulers hold without demand.
+/// Fraction of the accumulated tokens that schedulers hold without demand.
 const BASE_FRACTION: f64 = 0.25;
 
 /// Tolerance by which every limit may be exceeded, summed over all hosts.
--- a/crates/chicoryrail-policy/src/scheduler/rate_bucket.rs
+++ b/crates/chicoryrail-policy/src/scheduler/rate_bucket.rs
@@ -2,8 +2,8 @@
 
 use chicoryrail_core::Millis;
 
-/// Time over which unused tokens accumulate. For some advertised rates this is less than one token; the bucket always
-/// holds at least one.
+/// Time over which unused tokens accumulate. For some advertised rates this is less than one token. The capacity is at
+/// least one token, so that a request may always be sent when its token is due.
 const BURST_TIME_MS: f64 = 250.0;
 
 /// Lowest rate that is applied. A server that receives no request at all has no answer in which to raise its rate.
--- a/crates/chicoryrail-policy/src/scheduler/scheduler.rs
+++ b/crates/chicoryrail-policy/src/scheduler/scheduler.rs
@@ -24,7 +24,7 @@
 /// Scheduler of one service.
 ///
 /// If there are more requests than slots, briefly or permanently, this guards against two failures: requests that can
-/// still meet their latency target wait behind some that can't, and requests wait in the queue until their callers
+/// still meet their latency target wait behind some that can't, and requests occupy the queue until their callers
 /// cancel. Requests that can still meet their latency target go first, by priority and then by that target; the others
 /// follow by deadline. A request that can't be answered in time is refused as soon as that is known, with the time
 /// after which there may be capacity.
--- a/crates/chicoryrail-policy/tests/admission.rs
+++ b/crates/chicoryrail-policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and how long a host may answer that by itself.
+//! Finding the organisation of an API key, and how long a host may do so by its own configuration.
 
 use std::sync::Arc;
 
@@ -25,15 +25,15 @@
         organisation("shop", &["three"]),
     ];
     let index = KeyIndex::new([7; 16], &all);
-    let holder = |key: &str| {
+    let find = |key: &str| {
         index
             .holder(key.as_bytes())
             .map(|o| o.name.as_str().to_owned())
     };
-    assert_eq!(holder("two").as_deref(), Some("school"));
-    assert_eq!(holder("three").as_deref(), Some("shop"));
+    assert_eq!(find("two").as_deref(), Some("school"));
+    assert_eq!(find("three").as_deref(), Some("shop"));
     for unknown in ["", "on", "ones", "ONE", "one "] {
-        assert_eq!(holder(unknown), None, "{unknown:?}");
+        assert_eq!(find(unknown), None, "{unknown:?}");
     }
 }
 
@@ -42,11 +42,11 @@
 #[case::within(5_800, true)]
 #[case::clock_drift(5_890, false)]
 #[case::beyond(6_000, false)]
-fn keys_are_served_within_the_bound_of_the_last_proof(#[case] now: u64, #[case] holds: bool) {
+fn keys_are_accepted_within_the_bound_of_the_last_proof(#[case] now: u64, #[case] is_fresh: bool) {
     let mut freshness = Freshness::default();
     assert!(!freshness.holds(Millis(now), Millis(5_000)));
     freshness.prove(Millis(1_000));
-    // A reply that was under way for long proves less than one that came before it.
+    // An answer that was delayed for long proves less than one that arrived before it.
     freshness.prove(Millis(400));
-    assert_eq!(freshness.holds(Millis(now), Millis(5_000)), holds);
+    assert_eq!(freshness.holds(Millis(now), Millis(5_000)), is_fresh);
 }
--- a/crates/chicoryrail-policy/tests/limited_servers.rs
+++ b/crates/chicoryrail-policy/tests/limited_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that name how many requests a second they take, as the scheduler serves them.
+//! Scheduling of servers that advertise a limit of requests per second.
 
 use chicoryrail_core::Millis;
 use chicoryrail_policy::Decision;
@@ -9,21 +9,21 @@
 use chicoryrail_policy::SlotRequest;
 use chicoryrail_policy::SlotState;
 
-/// Requests a second that a server in need names.
-const LIMIT: f64 = 3.0;
+/// Requests per second that an overloaded server advertises.
+const LIMIT_PER_S: f64 = 3.0;
 
-/// Asks for the keys of server 0, which names a limit, twelve times a second for `seconds`; returns when requests were
-/// sent there, and how long after their arrival the others were refused.
-fn press_limited(scheduler: &mut Scheduler, from: u64, seconds: u64) -> (Vec<u64>, Vec<u64>) {
+/// Sends twelve requests per second for keys of server 0, which advertises a limit, for `seconds`. Returns the times of
+/// the requests sent to it, and how long after their arrival the others were refused.
+fn overload_limited(scheduler: &mut Scheduler, start: u64, seconds: u64) -> (Vec<u64>, Vec<u64>) {
     let owner = |_| Placement::Owner(ServerId(0));
     let mut sent = Vec::new();
     let mut refused = Vec::new();
-    for now in from..from + seconds * 1_000 {
+    for now in start..start + seconds * 1_000 {
         if now.is_multiple_of(83) {
-            scheduler.ask(Millis(now), ask(now, Some(7)));
+            scheduler.ask(Millis(now), request(now, Some(7)));
         }
-        for (ticket, verdict) in scheduler.poll(Millis(now), owner) {
-            match verdict {
+        for (ticket, decision) in scheduler.poll(Millis(now), owner) {
+            match decision {
                 Decision::Send(server) => {
                     sent.push(now);
                     scheduler.ended(Millis(now), &end(ticket, server, 20_000.0));
@@ -37,7 +37,7 @@
 
 fn limited(ours: bool) -> SlotState {
     SlotState {
-        limit: Some(LIMIT),
+        limit: Some(LIMIT_PER_S),
         ours,
         ..SlotState::open(2)
     }
@@ -51,7 +51,7 @@
     scheduler
 }
 
-fn ask(now: u64, key: Option<u16>) -> SlotRequest {
+fn request(now: u64, key: Option<u16>) -> SlotRequest {
     SlotRequest {
         ticket: now,
         rank: 1,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Returns the most sends in any four seconds.
+/// Returns the maximum number of sends in any four seconds.
 fn most_in_four_seconds(sent: &[u64]) -> usize {
     let within = |at: &u64| {
         sent.iter()
@@ -85,28 +85,32 @@
     sent.iter().map(within).max().unwrap_or_default()
 }
 
-/// A server in need falls over under what its callers send it.
+/// Guards against sending an overloaded server more than it advertises, until it fails.
 #[test]
-fn a_limited_server_gets_the_rate_that_it_named() {
+fn a_limited_server_gets_its_advertised_rate() {
     let mut scheduler = scheduler(2);
     scheduler.set(Millis(0), ServerId(0), limited(true));
-    let (sent, _) = press_limited(&mut scheduler, 0, 20);
+    let (sent, _) = overload_limited(&mut scheduler, 0, 20);
     let most = most_in_four_seconds(&sent);
-    assert!(most <= 4 * LIMIT as usize + 1, "{most}");
-    assert!(sent.len() >= 20 * LIMIT as usize - 2, "{}", sent.len());
+    assert!(most <= 4 * LIMIT_PER_S as usize + 1, "{most}");
+    assert!(
+        sent.len() >= 20 * LIMIT_PER_S as usize - 2,
+        "{}",
+        sent.len()
+    );
 }
 
-/// Callers beyond the limit wait for most of their time, and have none left to come back.
+/// Guards against callers over the limit that wait for most of their time and have none left to retry.
 #[test]
-fn who_is_beyond_a_servers_limit_has_time_left_to_come_back() {
+fn callers_over_a_servers_limit_have_time_left_to_retry() {
     let mut scheduler = scheduler(2);
     scheduler.set(Millis(0), ServerId(0), limited(true));
-    let (_, refused) = press_limited(&mut scheduler, 0, 20);
+    let (_, refused) = overload_limited(&mut scheduler, 0, 20);
     let latest = refused.iter().max().copied().unwrap_or_default();
     assert!(!refused.is_empty() && latest <= 400, "{latest} of 800 ms");
 }
 
-/// Two hosts schedule for a limited server in turn, and each gives it a burst of its own.
+/// Guards against extra bursts: two hosts schedule a limited server in turn, and each would allow a burst of its own.
 #[test]
 fn a_new_scheduler_gives_a_limited_server_no_burst() {
     let mut schedulers = [scheduler(1), scheduler(1)];
@@ -117,37 +121,37 @@
         let (ours, other) = if turn % 2 == 0 { (a, b) } else { (b, a) };
         ours.set(Millis(now), ServerId(0), limited(true));
         other.set(Millis(now), ServerId(0), limited(false));
-        sent.extend(press_limited(ours, now, 1).0);
+        sent.extend(overload_limited(ours, now, 1).0);
     }
     let most = most_in_four_seconds(&sent);
-    assert!(most <= 4 * LIMIT as usize + 1, "{most}");
+    assert!(most <= 4 * LIMIT_PER_S as usize + 1, "{most}");
 }
 
-/// A server that takes nothing at all gets no request by which it could say that it takes more again.
+/// Guards against a server with a limit of zero that gets no request, and so has no answer in which to raise the limit.
 #[test]
-fn a_server_that_takes_nothing_is_probed() {
+fn a_server_with_a_limit_of_zero_is_probed() {
     let mut scheduler = scheduler(1);
-    let nothing = SlotState {
+    let blocked = SlotState {
         limit: Some(0.0),
         ..SlotState::open(2)
     };
-    scheduler.set(Millis(0), ServerId(0), nothing);
-    let (sent, _) = press_limited(&mut scheduler, 0, 30);
+    scheduler.set(Millis(0), ServerId(0), blocked);
+    let (sent, _) = overload_limited(&mut scheduler, 0, 30);
     assert!((2..=8).contains(&sent.len()), "{}", sent.len());
 }
 
-/// Requests that any server may take wait for a limited one beside servers with free slots.
+/// Guards against requests for any server that wait for a limited one while others have free slots.
 #[test]
-fn other_servers_take_what_a_limited_one_does_not() {
+fn other_servers_serve_requests_over_a_servers_limit() {
     let mut scheduler = scheduler(3);
     scheduler.set(Millis(0), ServerId(0), limited(true));
     let mut refused = 0;
     for now in 0..5_000_u64 {
         if now.is_multiple_of(20) {
-            scheduler.ask(Millis(now), ask(now, None));
+            scheduler.ask(Millis(now), request(now, None));
         }
-        for (ticket, verdict) in scheduler.poll(Millis(now), |_| Placement::Any) {
-            match verdict {
+        for (ticket, decision) in scheduler.poll(Millis(now), |_| Placement::Any) {
+            match decision {
                 Decision::Send(server) => scheduler.ended(Millis(now), &end(ticket, server, 9e4)),
                 Decision::Refuse(_) => refused += 1,
             }
--- a/crates/chicoryrail-policy/tests/part_rooms.rs
+++ b/crates/chicoryrail-policy/tests/part_rooms.rs
@@ -1,4 +1,4 @@
-//! Where requests go that find no slot in their own data centre.
+//! Choice of another data centre for requests without a free slot in their own.
 
 use chicoryrail_core::DcName;
 use chicoryrail_core::Millis;
@@ -10,8 +10,9 @@
     DcName::new(name)
 }
 
-/// Twelve requests come at once to a data centre that is full. They go to the others, more to the one with more
-/// room, and no more than half of what each has: hosts elsewhere may send theirs there at the same moment.
+/// Guards against overloading one data centre: twelve requests arrive at once in a full one. They are distributed over
+/// the others by their free slots, and at most half of the slots of each are used: other hosts may use them at once,
+/// too.
 #[test]
 fn a_burst_is_spread_over_the_other_data_centres() {
     let mut rooms = PartRooms::default();
@@ -25,9 +26,9 @@
     assert_eq!((count("east"), count("north"), count("west")), (6, 2, 0));
 }
 
-/// All data centres are full, or the only one with room is the caller's own: the request waits where it is.
+/// All other data centres are full, or only the caller's own has free slots: the request waits where it is.
 #[test]
-fn nothing_goes_where_there_is_no_room() {
+fn no_slot_is_taken_from_full_data_centres() {
     let mut rooms = PartRooms::default();
     assert_eq!(rooms.take(NOW, &dc("west")), None);
     rooms.heard(NOW, &dc("west"), 9);
@@ -35,9 +36,9 @@
     assert_eq!(rooms.take(NOW, &dc("west")), None);
 }
 
-/// A data centre is cut off: nothing more is heard of it, and within half a second nothing more is sent after it.
+/// Guards against sending to an isolated data centre: half a second after its last report it gets nothing more.
 #[test]
-fn a_data_centre_that_went_silent_gets_nothing() {
+fn a_silent_data_centre_gets_nothing() {
     let mut rooms = PartRooms::default();
     rooms.heard(NOW, &dc("east"), 40);
     assert_eq!(rooms.take(Millis(1_400), &dc("west")), Some(dc("east")));
--- a/crates/chicoryrail-policy/tests/quota.rs
+++ b/crates/chicoryrail-policy/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Limits of organisations over all hosts, played with schedulers, a leader, losses and cuts.
+//! Quota limits of organisations over all hosts, simulated with schedulers, a leader, packet loss and partitions.
 
 use chicoryrail_core::HostName;
 use chicoryrail_core::Millis;
@@ -25,79 +25,79 @@
 };
 const SCHEDULERS: usize = 8;
 const TICK_MS: u64 = 5;
-/// When callers begin to come; the leader knows by then that nothing ran before.
+/// Time at which requests begin; the leader knows by then that nothing was admitted before.
 const STARTED_MS: u64 = 6_000;
 const REPORT_MS: u64 = 100;
-const ASK_AGAIN_MS: u64 = 120;
+const RETRY_MS: u64 = 120;
 
-/// What goes wrong in a play.
+/// Faults of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
-    /// Part of the datagrams that are lost.
+struct Faults {
+    /// Fraction of the datagrams that are lost.
     loss: f64,
-    /// Schedulers that neither hear nor reach the leader, from second to second.
+    /// Schedulers that are partitioned from the leader: their number, the first second, and the end (exclusive).
     cut: Option<(usize, u64, u64)>,
-    /// When the leader is lost; another one leads a second later.
+    /// Time at which the leader is lost; another one leads a second later.
     leader_lost_ms: Option<u64>,
-    /// When the limit is lowered to a third.
+    /// Time at which the limit is lowered to a third.
     lowered_ms: Option<u64>,
-    /// Whether tokens are not counted as spent when they are given out.
+    /// Whether granted tokens are not counted as spent.
     forgets_leases: bool,
 }
 
-/// Schedulers and a leader, in steps of a few milliseconds.
-struct Play {
+/// Schedulers and a leader, simulated in steps of a few milliseconds.
+struct Simulation {
     limit: QuotaLimit,
-    trouble: Trouble,
+    faults: Faults,
     rng: Pcg64Mcg,
     shares: Vec<QuotaShare>,
-    heard: Vec<u64>,
-    answered: Vec<Option<u64>>,
+    reported: Vec<u64>,
+    answered_at: Vec<Option<u64>>,
     pool: QuotaPool,
     term: u64,
-    leads_from: u64,
-    ran: Vec<u64>,
-    ran_at: [usize; SCHEDULERS],
+    leader_from: u64,
+    admitted: Vec<u64>,
+    admitted_by: [usize; SCHEDULERS],
     refused: Vec<u64>,
-    /// Requests that ask again for a token: scheduler and moment.
+    /// Requests that retry for a token: scheduler and time.
     waiting: Vec<(usize, u64)>,
 }
 
-impl Play {
-    fn new(rate: f64, burst: f64, trouble: Trouble, seed: u64) -> Self {
+impl Simulation {
+    fn new(rate: f64, burst: f64, faults: Faults, seed: u64) -> Self {
         Self {
             limit: QuotaLimit { rate, burst },
-            trouble,
+            faults,
             rng: Pcg64Mcg::seed_from_u64(seed),
             shares: vec![QuotaShare::default(); SCHEDULERS],
-            heard: vec![0; SCHEDULERS],
-            answered: vec![None; SCHEDULERS],
+            reported: vec![0; SCHEDULERS],
+            answered_at: vec![None; SCHEDULERS],
             pool: QuotaPool::from(Millis::ZERO),
             term: 1,
-            leads_from: 0,
-            ran: Vec::new(),
-            ran_at: [0; SCHEDULERS],
+            leader_from: 0,
+            admitted: Vec::new(),
+            admitted_by: [0; SCHEDULERS],
             refused: Vec::new(),
             waiting: Vec::new(),
         }
     }
 
-    /// Plays to `end_ms`; `demand` returns the requests a second of a scheduler at a moment.
+    /// Simulates until `end_ms`; `demand` returns the requests per second of a scheduler at a time.
     fn run(mut self, end_ms: u64, demand: impl Fn(usize, u64) -> f64) -> Self {
         for ms in (0..end_ms).step_by(TICK_MS as usize) {
-            self.change(ms);
+            self.inject_faults(ms);
             for at in 0..SCHEDULERS {
                 let expected = demand(at, ms) * TICK_MS as f64 / 1_000.0;
                 let whole = expected.floor() as u32;
-                let more = u32::from(self.rng.random_bool(expected.fract()));
-                for _ in 0..whole + more {
-                    self.ask(at, ms, true);
+                let extra = u32::from(self.rng.random_bool(expected.fract()));
+                for _ in 0..whole + extra {
+                    self.request(at, ms, true);
                 }
                 let due = |w: &(usize, u64)| *w == (at, ms);
-                let again = self.waiting.iter().filter(|w| due(w)).count();
+                let retries = self.waiting.iter().filter(|w| due(w)).count();
                 self.waiting.retain(|w| !due(w));
-                for _ in 0..again {
-                    self.ask(at, ms, false);
+                for _ in 0..retries {
+                    self.request(at, ms, false);
                 }
                 let low = self.shares[at].is_low(&self.bound(at, ms));
                 if ms % REPORT_MS == at as u64 * TICK_MS || (low && ms % 20 == 0) {
@@ -108,15 +108,15 @@
         self
     }
 
-    fn change(&mut self, ms: u64) {
-        if self.trouble.lowered_ms == Some(ms) {
+    fn inject_faults(&mut self, ms: u64) {
+        if self.faults.lowered_ms == Some(ms) {
             self.limit.rate /= 3.0;
             self.limit.burst /= 3.0;
         }
-        if self.trouble.leader_lost_ms == Some(ms) {
+        if self.faults.leader_lost_ms == Some(ms) {
             self.term += 1;
-            self.leads_from = ms + 1_000;
-            self.pool = QuotaPool::from(Millis(self.leads_from));
+            self.leader_from = ms + 1_000;
+            self.pool = QuotaPool::from(Millis(self.leader_from));
         }
     }
 
@@ -124,57 +124,57 @@
         ShareBound {
             limit: self.limit,
             schedulers: SCHEDULERS,
-            lone: self.is_lone(at, ms),
+            lone: self.is_isolated(at, ms),
             allowance: ALLOWANCE,
         }
     }
 
-    fn ask(&mut self, at: usize, ms: u64, first: bool) {
+    fn request(&mut self, at: usize, ms: u64, first: bool) {
         let bound = self.bound(at, ms);
         match self.shares[at].take(Millis(ms), &bound) {
             Ok(()) => {
-                self.ran.push(ms);
-                self.ran_at[at] += 1;
+                self.admitted.push(ms);
+                self.admitted_by[at] += 1;
             }
             Err(_) if first && self.shares[at].may_wait(&bound) => {
-                self.waiting.push((at, ms + ASK_AGAIN_MS));
+                self.waiting.push((at, ms + RETRY_MS));
             }
             Err(_) => self.refused.push(ms),
         }
     }
 
-    fn is_lone(&self, at: usize, ms: u64) -> bool {
-        self.answered[at].is_none_or(|t| ms - t > LONE_AFTER.0)
+    fn is_isolated(&self, at: usize, ms: u64) -> bool {
+        self.answered_at[at].is_none_or(|t| ms - t > LONE_AFTER.0)
     }
 
     fn is_cut(&self, at: usize, ms: u64) -> bool {
-        let cut = self.trouble.cut;
+        let cut = self.faults.cut;
         cut.is_some_and(|(n, from, to)| at < n && (from * 1_000..to * 1_000).contains(&ms))
     }
 
-    fn lost(&mut self) -> bool {
-        self.rng.random_bool(self.trouble.loss)
+    fn is_lost(&mut self) -> bool {
+        self.rng.random_bool(self.faults.loss)
     }
 
     fn report(&mut self, at: usize, ms: u64) {
         let bound = self.bound(at, ms);
         let report = self.shares[at].report(Millis(ms), &bound);
-        if ms < self.leads_from || self.is_cut(at, ms) || self.lost() {
+        if ms < self.leader_from || self.is_cut(at, ms) || self.is_lost() {
             return;
         }
-        let lone = self.is_lone(at, ms);
-        self.heard[at] = if lone { 0 } else { ms + 1 };
+        let isolated = self.is_isolated(at, ms);
+        self.reported[at] = if isolated { 0 } else { ms + 1 };
         let grant = self.answer(at, ms, report);
-        if !self.lost() {
-            self.answered[at] = Some(ms);
+        if !self.is_lost() {
+            self.answered_at[at] = Some(ms);
             self.shares[at].grant(grant);
         }
     }
 
     fn answer(&mut self, at: usize, ms: u64, mut report: QuotaReport) -> QuotaGrant {
-        let is_heard = |h: &&u64| **h > 0 && ms - (**h - 1) <= LONE_AFTER.0;
-        let heard = self.heard.iter().filter(is_heard).count();
-        if self.trouble.forgets_leases {
+        let is_connected = |h: &&u64| **h > 0 && ms - (**h - 1) <= LONE_AFTER.0;
+        let connected = self.reported.iter().filter(is_connected).count();
+        if self.faults.forgets_leases {
             report.held = 0;
             self.term += 1;
             self.pool = QuotaPool::from(Millis::ZERO);
@@ -184,155 +184,168 @@
             limit: self.limit,
             allowance: ALLOWANCE,
             schedulers: SCHEDULERS,
-            heard_part: heard as f64 / SCHEDULERS as f64,
+            heard_part: connected as f64 / SCHEDULERS as f64,
         };
         let host = HostName::new(&format!("host-{at}"));
         self.pool.report(Millis(ms), &host, report, &bound)
     }
 
-    /// Returns by how many requests the fullest window after `from_ms` exceeds what the limit allows.
+    /// Returns by how many requests the fullest window after `from_ms` exceeds what the limit and its tolerance allow.
     fn excess(&self, from_ms: u64) -> f64 {
         let limit = self.limit;
         let window = ALLOWANCE.window.0;
         let bound = limit.rate * window as f64 / 1_000.0 + limit.burst + ALLOWANCE.requests(limit);
-        let ran: Vec<u64> = self.ran.iter().copied().filter(|t| *t >= from_ms).collect();
-        let fullest = ran.iter().enumerate().map(|(i, t)| {
-            let end = ran.partition_point(|r| *r < t + window);
+        let admitted: Vec<u64> = self
+            .admitted
+            .iter()
+            .copied()
+            .filter(|t| *t >= from_ms)
+            .collect();
+        let fullest = admitted.iter().enumerate().map(|(i, t)| {
+            let end = admitted.partition_point(|r| *r < t + window);
             end - i
         });
         fullest.max().unwrap_or(0) as f64 - bound
     }
 
     fn refused_share(&self) -> f64 {
-        self.refused.len() as f64 / (self.ran.len() + self.refused.len()) as f64
+        self.refused.len() as f64 / (self.admitted.len() + self.refused.len()) as f64
     }
 }
 
-/// Load: small and large organisations within their limits at all schedulers, whose requests come at random moments.
+/// Guards against refusing requests within the limit: small and large organisations send to all schedulers at random
+/// times.
 #[test]
-fn who_is_within_the_limit_is_served() {
-    let (mut ran, mut refused) = (0, 0);
+fn requests_within_the_limit_are_served() {
+    let (mut admitted, mut refused) = (0, 0);
     for (seed, rate) in (0..).zip([14.0, 14.0, 21.0, 27.0, 51.0, 100.0, 360.0].repeat(5)) {
-        let play = Play::new(rate, rate, Trouble::default(), seed);
-        let usual = rate / 1.6 / SCHEDULERS as f64;
-        let play = play.run(20_000, |_, ms| if ms < STARTED_MS { 0.0 } else { usual });
-        ran += play.ran.len();
-        refused += play.refused.len();
+        let sim = Simulation::new(rate, rate, Faults::default(), seed);
+        let base = rate / 1.6 / SCHEDULERS as f64;
+        let sim = sim.run(20_000, |_, ms| if ms < STARTED_MS { 0.0 } else { base });
+        admitted += sim.admitted.len();
+        refused += sim.refused.len();
     }
-    assert!(refused * 1_000 < ran, "{refused} refused, {ran} ran");
+    assert!(
+        refused * 1_000 < admitted,
+        "{refused} refused, {admitted} admitted"
+    );
 }
 
-/// Load: all of an organisation's callers are at one scheduler, and move to another at once.
+/// Guards against tokens that stay at the wrong scheduler: all callers of an organisation use one scheduler, and then
+/// all move to another at once.
 #[test]
-fn who_is_within_the_limit_is_served_at_one_host() {
+fn requests_within_the_limit_are_served_at_one_host() {
     for seed in 0..10 {
-        let play = Play::new(50.0, 50.0, Trouble::default(), seed);
-        let play = play.run(20_000, |at, ms| {
-            let is_there = ms >= STARTED_MS && ms / 5_000 % 2 == at as u64;
-            if is_there { 31.0 } else { 0.0 }
+        let sim = Simulation::new(50.0, 50.0, Faults::default(), seed);
+        let sim = sim.run(20_000, |at, ms| {
+            let is_active = ms >= STARTED_MS && ms / 5_000 % 2 == at as u64;
+            if is_active { 31.0 } else { 0.0 }
         });
-        assert!(play.refused_share() < 0.01, "{}", play.refused_share());
+        assert!(sim.refused_share() < 0.01, "{}", sim.refused_share());
     }
 }
 
-/// Load: organisations within their limits lose the leader, and another one begins a second later.
+/// Guards against refusals during a change of leaders: the leader of organisations within their limits is lost, and
+/// another one takes over a second later.
 #[test]
-fn who_is_within_the_limit_is_served_through_a_change_of_leaders() {
-    let (mut asked, mut refused) = (0, 0);
+fn requests_within_the_limit_are_served_while_the_leader_changes() {
+    let (mut total, mut refused) = (0, 0);
     for (seed, rate) in (0..).zip([14.0, 14.0, 21.0, 27.0, 51.0, 100.0, 360.0].repeat(5)) {
-        let trouble = Trouble {
+        let faults = Faults {
             leader_lost_ms: Some(10_000),
-            ..Trouble::default()
+            ..Faults::default()
         };
-        let play = Play::new(rate, rate, trouble, seed);
-        let usual = rate / 1.6 / SCHEDULERS as f64;
-        let play = play.run(20_000, |_, ms| if ms < STARTED_MS { 0.0 } else { usual });
+        let sim = Simulation::new(rate, rate, faults, seed);
+        let base = rate / 1.6 / SCHEDULERS as f64;
+        let sim = sim.run(20_000, |_, ms| if ms < STARTED_MS { 0.0 } else { base });
         let during = |all: &[u64]| all.iter().filter(|t| (10_000..14_000).contains(*t)).count();
-        refused += during(&play.refused);
-        asked += during(&play.ran) + during(&play.refused);
+        refused += during(&sim.refused);
+        total += during(&sim.admitted) + during(&sim.refused);
     }
-    assert!(refused * 100 < asked, "{refused} of {asked} refused");
+    assert!(refused * 100 < total, "{refused} of {total} refused");
 }
 
-/// Load: an organisation sends 7.5 times its usual all at once. It gets its limit, and no more.
+/// Guards against admitting more than the limit, or much less: an organisation sends 7.5 times its usual rate at once.
 #[rstest]
 #[case::small(14.0)]
 #[case::large(360.0)]
 fn a_flood_gets_the_limit(#[case] rate: f64) {
     for seed in 0..10 {
-        let usual = rate / 1.6 / SCHEDULERS as f64;
-        let play = Play::new(rate, rate, Trouble::default(), seed);
-        let play = play.run(20_000, |_, ms| if ms < 5_000 { usual } else { usual * 7.5 });
-        assert!(play.excess(0) <= 0.0, "{}", play.excess(0));
-        let ran = play.ran.iter().filter(|t| **t >= 10_000).count() as f64;
-        let allowed = ALLOWANCE.window_limit(play.limit) * 2.0;
-        assert!(ran >= allowed * 0.9, "{ran} of {allowed}");
-        let least = play.ran_at.iter().min().copied().unwrap_or_default();
-        let mean = play.ran.len() / SCHEDULERS;
+        let base = rate / 1.6 / SCHEDULERS as f64;
+        let sim = Simulation::new(rate, rate, Faults::default(), seed);
+        let sim = sim.run(20_000, |_, ms| if ms < 5_000 { base } else { base * 7.5 });
+        assert!(sim.excess(0) <= 0.0, "{}", sim.excess(0));
+        let admitted = sim.admitted.iter().filter(|t| **t >= 10_000).count() as f64;
+        let allowed = ALLOWANCE.window_limit(sim.limit) * 2.0;
+        assert!(admitted >= allowed * 0.9, "{admitted} of {allowed}");
+        let least = sim.admitted_by.iter().min().copied().unwrap_or_default();
+        let mean = sim.admitted.len() / SCHEDULERS;
         assert!(least * 2 >= mean, "a scheduler let {least} run, all {mean}");
     }
 }
 
 #[rstest]
-#[case::leader_lost(Trouble { leader_lost_ms: Some(8_000), ..Trouble::default() })]
-#[case::cut(Trouble { cut: Some((3, 6, 12)), ..Trouble::default() })]
-#[case::losses(Trouble { loss: 0.2, ..Trouble::default() })]
-#[case::all_of_it(Trouble { loss: 0.1, cut: Some((4, 7, 10)), leader_lost_ms: Some(8_000), ..Trouble::default() })]
-fn a_flood_gets_no_more_in_trouble(#[case] trouble: Trouble) {
+#[case::leader_lost(Faults { leader_lost_ms: Some(8_000), ..Faults::default() })]
+#[case::cut(Faults { cut: Some((3, 6, 12)), ..Faults::default() })]
+#[case::losses(Faults { loss: 0.2, ..Faults::default() })]
+#[case::all_of_it(Faults { loss: 0.1, cut: Some((4, 7, 10)), leader_lost_ms: Some(8_000), ..Faults::default() })]
+fn a_flood_gets_no_more_under_faults(#[case] faults: Faults) {
     for seed in 0..10 {
-        let play = Play::new(60.0, 60.0, trouble, seed);
-        let play = play.run(20_000, |_, ms| if ms < 5_000 { 4.0 } else { 35.0 });
-        assert!(play.excess(0) <= 0.0, "{}", play.excess(0));
+        let sim = Simulation::new(60.0, 60.0, faults, seed);
+        let sim = sim.run(20_000, |_, ms| if ms < 5_000 { 4.0 } else { 35.0 });
+        assert!(sim.excess(0) <= 0.0, "{}", sim.excess(0));
     }
 }
 
-/// Load: the operator lowers the limit of an organisation that sends as before.
+/// Guards against a lowered limit that does not apply: the organisation keeps sending as before.
 #[test]
-fn a_lower_limit_binds_a_window_later() {
+fn a_lowered_limit_holds_one_window_later() {
     for seed in 0..10 {
-        let trouble = Trouble {
+        let faults = Faults {
             lowered_ms: Some(6_000),
-            ..Trouble::default()
+            ..Faults::default()
         };
-        let play = Play::new(60.0, 60.0, trouble, seed).run(20_000, |_, _| 5.0);
-        assert!(play.excess(6_500) <= 0.0, "{}", play.excess(6_500));
+        let sim = Simulation::new(60.0, 60.0, faults, seed).run(20_000, |_, _| 5.0);
+        assert!(sim.excess(6_500) <= 0.0, "{}", sim.excess(6_500));
     }
 }
 
-/// Load: all schedulers are killed and start at once, in the middle of a flood.
+/// Guards against a second burst: all schedulers are killed and restart at once during a flood.
 #[test]
-fn a_restart_of_all_begins_without_tokens() {
+fn a_restart_of_all_schedulers_begins_without_tokens() {
     for seed in 0..10 {
-        let before = Play::new(60.0, 60.0, Trouble::default(), seed).run(5_000, |_, _| 35.0);
-        let trouble = Trouble {
+        let before = Simulation::new(60.0, 60.0, Faults::default(), seed).run(5_000, |_, _| 35.0);
+        let faults = Faults {
             leader_lost_ms: Some(0),
-            ..Trouble::default()
+            ..Faults::default()
         };
-        let after = Play::new(60.0, 60.0, trouble, seed).run(5_000, |_, _| 35.0);
+        let after = Simulation::new(60.0, 60.0, faults, seed).run(5_000, |_, _| 35.0);
         let mut both = before;
-        both.ran.extend(after.ran.iter().map(|t| t + 5_500));
+        both.admitted
+            .extend(after.admitted.iter().map(|t| t + 5_500));
         assert!(both.excess(0) <= 0.0, "{}", both.excess(0));
     }
 }
 
-/// Load: hosts that reach no scheduler, a third of 68, each with a part of a flood.
+/// Guards against isolated hosts that exceed the tolerance together: 23 of 68 hosts reach no scheduler, and each
+/// receives a fraction of a flood.
 #[test]
-fn hosts_that_are_alone_stay_within_what_may_be_exceeded() {
+fn isolated_hosts_stay_within_the_tolerance() {
     let limit = QuotaLimit {
         rate: 60.0,
         burst: 60.0,
     };
     let mut shares = [LoneShare::default(); 23];
-    let mut ran = 0;
+    let mut admitted = 0;
     for ms in (10_000..15_000).step_by(50) {
         let taken = shares.iter_mut().map(|s| s.take(Millis(ms), limit, 68));
-        ran += taken.filter(Result::is_ok).count();
+        admitted += taken.filter(Result::is_ok).count();
     }
-    assert!(ran >= 23, "each serves one request at least");
-    assert!((ran as f64) <= ALLOWANCE.requests(limit), "{ran}");
+    assert!(admitted >= 23, "each serves one request at least");
+    assert!((admitted as f64) <= ALLOWANCE.requests(limit), "{admitted}");
 }
 
-/// Guards against tokens that are taken off a new leader's window with each report that gets no answer.
+/// Guards against tokens that are subtracted from a new leader's window with each report that gets no answer.
 #[test]
 fn unanswered_reports_free_no_tokens() {
     let limit = QuotaLimit {
@@ -373,19 +386,20 @@
             .report(Millis(ms), &HostName::new("other"), answered, &bound)
             .granted;
     }
-    // What the leader assumes to have run gives way at the rate, but for the burst at its end.
+    // Requests that the leader assumes to have been admitted leave the window at the rate, except for the burst at its
+    // end.
     assert!(granted as f64 <= limit.rate * 4.9 + 1.0, "{granted} tokens");
 }
 
-/// Guards the plays above: a leader that forgets what it has given out lets too much run, and they notice.
+/// Checks the simulations above: they detect a leader that forgets its grants and admits too much.
 #[test]
-fn the_plays_find_a_leader_that_forgets_its_leases() {
-    let trouble = Trouble {
+fn the_simulation_detects_a_leader_that_forgets_its_leases() {
+    let faults = Faults {
         forgets_leases: true,
-        ..Trouble::default()
+        ..Faults::default()
     };
-    let play = Play::new(60.0, 60.0, trouble, 1).run(20_000, |_, _| 35.0);
-    assert!(play.excess(0) > 0.0, "{}", play.excess(0));
+    let sim = Simulation::new(60.0, 60.0, faults, 1).run(20_000, |_, _| 35.0);
+    assert!(sim.excess(0) > 0.0, "{}", sim.excess(0));
 }
 
 proptest! {
@@ -403,13 +417,13 @@
         seed in any::<u64>(),
     ) {
         let leader_lost_ms = leader_lost_ms.map(|t| t * TICK_MS);
-        let trouble = Trouble { loss, cut, leader_lost_ms, ..Trouble::default() };
-        let play = Play::new(rate, rate * burst_part, trouble, seed);
-        let play = play.run(12_000, |at, ms| {
-            let hot = (ms / 1_700) as usize % SCHEDULERS == at;
+        let faults = Faults { loss, cut, leader_lost_ms, ..Faults::default() };
+        let sim = Simulation::new(rate, rate * burst_part, faults, seed);
+        let sim = sim.run(12_000, |at, ms| {
+            let is_hot = (ms / 1_700) as usize % SCHEDULERS == at;
             let even = (1.0 - skew) / SCHEDULERS as f64;
-            rate * times * (even + if hot { skew } else { 0.0 })
+            rate * times * (even + if is_hot { skew } else { 0.0 })
         });
-        prop_assert!(play.excess(0) <= 0.0, "excess {}", play.excess(0));
+        prop_assert!(sim.excess(0) <= 0.0, "excess {}", sim.excess(0));
     }
 }
--- a/crates/chicoryrail-policy/tests/scheduler_callers.rs
+++ b/crates/chicoryrail-policy/tests/scheduler_callers.rs
@@ -1,5 +1,4 @@
-//! The one queue in front of a service's servers, under callers that all want one key, or that come back at
-//! once.
+//! Scheduling of one service's requests with one hot key, or with callers that retry at once.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -19,34 +18,34 @@
 
 const SERVERS: u32 = 4;
 
-/// Work of each request, 80 ms in one of two slots: a server does 25 a second.
-const WORK: u64 = 80;
+/// Work of each request in milliseconds, in one of two slots: a server processes 25 requests per second.
+const WORK_MS: u64 = 80;
 
-/// Longest time for a caller.
-const TIME: u64 = 800;
+/// Time until a caller's deadline, in milliseconds.
+const TIMEOUT_MS: u64 = 800;
 
-/// What became of the requests of one kind.
+/// Outcomes of one kind of requests.
 #[derive(Clone, Copy, Debug, Default)]
-struct Got {
-    asked: u32,
+struct Outcomes {
+    sent: u32,
     served: u32,
-    in_aim: u32,
+    on_time: u32,
     refused: u32,
-    /// Refused more than 50 ms after they came.
+    /// Requests refused more than 50 ms after their arrival.
     refused_late: u32,
 }
 
-/// Four servers, each holding a quarter of the keys, and the requests at them.
-struct Play {
+/// Four servers, each the owner of a quarter of the keys, and the requests in flight at them.
+struct Simulation {
     scheduler: Scheduler,
     now: u64,
-    next: u64,
+    next_ticket: u64,
     ends: BinaryHeap<Reverse<(u64, u64, u32)>>,
-    /// Key and arrival of each request, by its ticket.
-    asked: Vec<(u16, u64)>,
+    /// Key and arrival time of each request, indexed by its ticket.
+    requests: Vec<(u16, u64)>,
 }
 
-impl Play {
+impl Simulation {
     fn new() -> Self {
         let mut scheduler = Scheduler::default();
         for id in 0..SERVERS {
@@ -55,30 +54,30 @@
         Self {
             scheduler,
             now: 0,
-            next: 0,
+            next_ticket: 0,
             ends: BinaryHeap::new(),
-            asked: Vec::new(),
+            requests: Vec::new(),
         }
     }
 
     fn ask(&mut self, key: u16) {
-        let ask = SlotRequest {
-            ticket: self.next,
+        let request = SlotRequest {
+            ticket: self.next_ticket,
             rank: 1,
             aim: Millis(self.now + 300),
-            deadline: Millis(self.now + TIME),
-            work_us: WORK as f64 * 1_000.0,
+            deadline: Millis(self.now + TIMEOUT_MS),
+            work_us: WORK_MS as f64 * 1_000.0,
             key: Some(key),
             not: Vec::new(),
             near: 0,
             large: false,
         };
-        self.next += 1;
-        self.asked.push((key, self.now));
-        self.scheduler.ask(Millis(self.now), ask);
+        self.next_ticket += 1;
+        self.requests.push((key, self.now));
+        self.scheduler.ask(Millis(self.now), request);
     }
 
-    /// Goes on by a millisecond; returns the requests that ended: key, arrival, whether served.
+    /// Advances by a millisecond; returns the requests that ended: key, arrival time, and whether they were served.
     fn step(&mut self) -> Vec<(u16, u64, bool)> {
         let mut ended = Vec::new();
         self.now += 1;
@@ -90,94 +89,104 @@
             let end = SlotRelease {
                 ticket,
                 server: ServerId(server),
-                us: Some(WORK as f64 * 1_000.0),
+                us: Some(WORK_MS as f64 * 1_000.0),
                 failure: None,
                 report: None,
             };
             self.scheduler.ended(Millis(self.now), &end);
-            let (key, came) = self.asked[ticket as usize];
-            ended.push((key, came, true));
+            let (key, arrived_at) = self.requests[ticket as usize];
+            ended.push((key, arrived_at, true));
         }
         let owner = |key: u16| Placement::Owner(ServerId(u32::from(key) % SERVERS));
-        for (ticket, verdict) in self.scheduler.poll(Millis(self.now), owner) {
-            let (key, came) = self.asked[ticket as usize];
-            match verdict {
+        for (ticket, decision) in self.scheduler.poll(Millis(self.now), owner) {
+            let (key, arrived_at) = self.requests[ticket as usize];
+            match decision {
                 Decision::Send(server) => {
-                    self.ends.push(Reverse((self.now + WORK, ticket, server.0)));
+                    self.ends
+                        .push(Reverse((self.now + WORK_MS, ticket, server.0)));
                 }
-                Decision::Refuse(_) => ended.push((key, came, false)),
+                Decision::Refuse(_) => ended.push((key, arrived_at, false)),
             }
         }
         ended
     }
 
-    fn count(&self, got: &mut Got, came: u64, served: bool) {
-        let took = self.now - came;
+    fn count(&self, outcomes: &mut Outcomes, arrived_at: u64, served: bool) {
+        let elapsed = self.now - arrived_at;
         if served {
-            got.served += 1;
-            got.in_aim += u32::from(took <= 300);
+            outcomes.served += 1;
+            outcomes.on_time += u32::from(elapsed <= 300);
         } else {
-            got.refused += 1;
-            got.refused_late += u32::from(took > 50);
+            outcomes.refused += 1;
+            outcomes.refused_late += u32::from(elapsed > 50);
         }
     }
 }
 
-/// One key gets three times what its server can do; the keys of the other servers get 60 % of what those can.
-/// Whoever asks for another server's keys notices nothing, the hot key's server works all the time, and most
-/// of what it can't do is refused at once, so that those callers can come back elsewhere.
+/// Guards against a hot key that delays others. One key gets three times the capacity of its server; the keys of the
+/// other servers get 60 % of theirs. Requests for other servers are not affected, the hot key's server is always busy,
+/// and most requests that it can't serve are refused at once, so that their callers can retry elsewhere.
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn a_hot_key_costs_callers_of_other_servers_nothing(#[case] seed: u64) {
+fn a_hot_key_does_not_delay_callers_of_other_servers(#[case] seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut play = Play::new();
-    let (mut hot, mut others) = (Got::default(), Got::default());
+    let mut sim = Simulation::new();
+    let (mut hot, mut others) = (Outcomes::default(), Outcomes::default());
     for _ in 0..10_000 {
         if rng.random_bool(75.0 / 1_000.0) {
-            hot.asked += 1;
-            play.ask(0);
+            hot.sent += 1;
+            sim.ask(0);
         }
         if rng.random_bool(45.0 / 1_000.0) {
-            others.asked += 1;
-            play.ask(rng.random_range(1..SERVERS as u16));
+            others.sent += 1;
+            sim.ask(rng.random_range(1..SERVERS as u16));
         }
-        for (key, came, served) in play.step() {
-            let got = if key == 0 { &mut hot } else { &mut others };
-            play.count(got, came, served);
+        for (key, arrived_at, served) in sim.step() {
+            let outcomes = if key == 0 { &mut hot } else { &mut others };
+            sim.count(outcomes, arrived_at, served);
         }
     }
-    assert!(others.in_aim * 100 > others.asked * 95, "{others:?}");
+    assert!(others.on_time * 100 > others.sent * 95, "{others:?}");
     assert!(hot.served > 235, "{hot:?}");
     assert!(hot.refused_late * 4 < hot.refused, "{hot:?}");
 }
 
-/// The servers get 1.2 times what they can do, and every caller who is refused asks again in the same
-/// millisecond three times out of four. What is served is the same within a tenth as with callers who do not
-/// come back: the returns push nobody aside who has a slot or waits with a prospect.
+/// Guards against retries that displace requests with a slot or with a prospect of one. The servers get 1.2 times their
+/// capacity, and a refused caller retries within the same millisecond in three of four cases. The number of served
+/// requests stays within a tenth of that without retries.
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn callers_that_return_at_once_cost_the_others_nothing(#[case] seed: u64) {
-    let run = |returns: f64| {
+fn immediate_retries_do_not_displace_other_callers(#[case] seed: u64) {
+    let run = |retry_chance: f64| {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut play = Play::new();
-        let mut got = Got::default();
+        let mut sim = Simulation::new();
+        let mut outcomes = Outcomes::default();
         for _ in 0..10_000 {
             if rng.random_bool(120.0 / 1_000.0) {
-                play.ask(rng.random_range(0..SERVERS as u16));
+                sim.ask(rng.random_range(0..SERVERS as u16));
             }
-            for (key, came, served) in play.step() {
-                play.count(&mut got, came, served);
-                if !served && rng.random_bool(returns) {
-                    play.ask(key);
+            for (key, arrived_at, served) in sim.step() {
+                sim.count(&mut outcomes, arrived_at, served);
+                if !served && rng.random_bool(retry_chance) {
+                    sim.ask(key);
                 }
             }
         }
-        got
+        outcomes
     };
-    let (calm, abuse) = (run(0.0), run(0.75));
-    assert!(abuse.refused > calm.refused * 2, "{calm:?} {abuse:?}");
-    assert!(abuse.served * 10 >= calm.served * 9, "{calm:?} {abuse:?}");
-    assert!(abuse.in_aim * 10 >= calm.in_aim * 9, "{calm:?} {abuse:?}");
+    let (baseline, retrying) = (run(0.0), run(0.75));
+    assert!(
+        retrying.refused > baseline.refused * 2,
+        "{baseline:?} {retrying:?}"
+    );
+    assert!(
+        retrying.served * 10 >= baseline.served * 9,
+        "{baseline:?} {retrying:?}"
+    );
+    assert!(
+        retrying.on_time * 10 >= baseline.on_time * 9,
+        "{baseline:?} {retrying:?}"
+    );
 }
--- a/crates/chicoryrail-policy/tests/scheduler_size.rs
+++ b/crates/chicoryrail-policy/tests/scheduler_size.rs
@@ -1,4 +1,4 @@
-//! The one queue in front of many servers: what a word costs the leader.
+//! Cost of a message to the scheduler with one queue in front of many servers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,16 +15,16 @@
 
 const SERVERS: u32 = 90;
 
-/// Requests that wait.
-const QUEUE: u64 = 75;
+/// Number of waiting requests.
+const QUEUE_LENGTH: u64 = 75;
 
-/// Words that a service with a thousand requests a second gets in a second.
-const WORDS: u64 = 2_000;
+/// Number of messages per second of a service with a thousand requests per second.
+const MESSAGES: u64 = 2_000;
 
-/// Longest time for them in a build without optimisation, on a busy machine: with it they take a fiftieth.
-/// Before the scheduler worked out all servers once for a whole queue they took 6 s with optimisation and a minute
-/// without.
-const LIMIT: Duration = Duration::from_secs(8);
+/// Maximum time for these messages in a build without optimisation on a busy machine; an optimised build takes a
+/// fiftieth of it. If the load of all servers is computed for each request instead of once for the queue, they take 6 s
+/// with optimisation and a minute without.
+const TIME_LIMIT: Duration = Duration::from_secs(8);
 
 fn any(_: u16) -> Placement {
     Placement::Any
@@ -38,77 +38,77 @@
     Placement::Owner(ServerId(u32::from(key) % SERVERS))
 }
 
-/// Ninety servers are full and 75 requests wait: for any of them, for servers of their own, or for keys that
-/// change hands. Each word of a host makes the scheduler look at all of them; a leader that needs longer for it
-/// than the words take to come is late for every request and loses its lease.
+/// Guards against a scheduler that is slower than its messages arrive: the leader would be late for every request and
+/// lose its lease. Ninety servers are full and 75 requests wait, for any server, for the owners of their keys, or for
+/// moving keys. Each message makes the scheduler check all of them.
 #[rstest]
 #[case::for_any(any)]
 #[case::for_owners(owner)]
 #[case::for_moving_keys(moving)]
-fn a_full_desk_of_ninety_servers_keeps_up(#[case] place: fn(u16) -> Placement) {
+fn a_queue_for_ninety_full_servers_keeps_up(#[case] place: fn(u16) -> Placement) {
     let mut scheduler = Scheduler::default();
     for id in 0..SERVERS {
         scheduler.set(Millis(0), ServerId(id), SlotState::open(2));
     }
-    let mut play = Play {
+    let mut sim = Simulation {
         scheduler,
         place: any,
-        at: Vec::new(),
+        assigned: Vec::new(),
     };
-    // All slots are taken, and then a queue builds up.
-    for _ in 0..u64::from(SERVERS) * 2 + QUEUE {
-        play.ask(0);
+    // All slots are taken first; then a queue builds up.
+    for _ in 0..u64::from(SERVERS) * 2 + QUEUE_LENGTH {
+        sim.ask(0);
     }
-    play.place = place;
+    sim.place = place;
     let started = Instant::now();
-    for word in 0..WORDS / 2 {
-        let now = word / 10;
-        play.ask(now);
-        play.end(now, word % u64::from(SERVERS * 2));
-        play.leave_some();
+    for message in 0..MESSAGES / 2 {
+        let now = message / 10;
+        sim.ask(now);
+        sim.end(now, message % u64::from(SERVERS * 2));
+        sim.trim_queue();
     }
-    let took = started.elapsed();
-    assert!(took < LIMIT, "{took:?}");
+    let elapsed = started.elapsed();
+    assert!(elapsed < TIME_LIMIT, "{elapsed:?}");
 }
 
-/// The scheduler, and where each request is, by its ticket.
-struct Play {
+/// A scheduler, and the server that each request was sent to, indexed by its ticket.
+struct Simulation {
     scheduler: Scheduler,
     place: fn(u16) -> Placement,
-    at: Vec<Option<ServerId>>,
+    assigned: Vec<Option<ServerId>>,
 }
 
-impl Play {
+impl Simulation {
     fn ask(&mut self, now: u64) {
-        let ticket = self.at.len() as u64;
-        self.at.push(None);
+        let ticket = self.assigned.len() as u64;
+        self.assigned.push(None);
         self.scheduler.ask(Millis(now), request(ticket, now));
         self.poll(now);
     }
 
     fn end(&mut self, now: u64, ticket: u64) {
-        if let Some(server) = self.at[ticket as usize] {
+        if let Some(server) = self.assigned[ticket as usize] {
             self.scheduler.ended(Millis(now), &end(ticket, server));
         }
         self.poll(now);
     }
 
     fn poll(&mut self, now: u64) {
-        for (ticket, verdict) in self.scheduler.poll(Millis(now), self.place) {
-            if let Decision::Send(server) = verdict {
-                self.at[ticket as usize] = Some(server);
+        for (ticket, decision) in self.scheduler.poll(Millis(now), self.place) {
+            if let Decision::Send(server) = decision {
+                self.assigned[ticket as usize] = Some(server);
             }
         }
     }
 
-    /// Keeps the queue at its length.
-    fn leave_some(&mut self) {
-        let waiting = self.at.iter().enumerate().skip(SERVERS as usize * 2);
+    /// Cancels requests, so that the queue keeps its length.
+    fn trim_queue(&mut self) {
+        let waiting = self.assigned.iter().enumerate().skip(SERVERS as usize * 2);
         let waiting: Vec<u64> = waiting
             .filter(|(_, at)| at.is_none())
             .map(|(ticket, _)| ticket as u64)
             .collect();
-        for ticket in waiting.iter().rev().skip(QUEUE as usize) {
+        for ticket in waiting.iter().rev().skip(QUEUE_LENGTH as usize) {
             self.scheduler.leave(*ticket);
         }
     }
