--- a/crates/chicoryrail-policy/src/scheduler/slot_request.rs
+++ b/crates/chicoryrail-policy/src/scheduler/slot_request.rs
@@ -37,7 +37,7 @@
     Any,
     /// Only the owner of its key.
     Owner(ServerId),
-    /// None at the moment, as its key is moving to another owner.
+    /// None at the moment, as its key has no owner or is moving to another one.
     Moving,
 }
 
