--- a/crates/chicoryrail-ownership/src/keys/assignment.rs
+++ b/crates/chicoryrail-ownership/src/keys/assignment.rs
@@ -1,4 +1,4 @@
-//! An assignment of keys while it is planned.
+//! Working copy of a key assignment that the planner modifies.
 
 use std::collections::BTreeMap;
 
@@ -8,64 +8,68 @@
 use crate::keys::KeyRange;
 use crate::keys::OwnedRange;
 use crate::keys::load_curve::LoadCurve;
-use crate::keys::load_curve::OVERSHOOT;
+use crate::keys::load_curve::OVERSHOOT_FACTOR;
 
-/// Load over the fair share down to which a server is relieved, and up to which another takes more. Below the load
-/// at which a server counts as overloaded, or the next few requests would make it overloaded again.
-const RELIEVED_LOAD: f64 = 1.05;
+/// Load relative to the fair share down to which a server is relieved, and up to which another server
+/// receives more. It lies below the ratio at which a server counts as overloaded; otherwise the next few
+/// requests would overload it again.
+const RELIEF_TARGET_RATIO: f64 = 1.05;
 
-/// Least part of a fair share that is worth a move of its own: each costs its requests a wait for the work that is
-/// running on its keys.
-const MOVED_SHARE_MIN: f64 = 0.06;
+/// Smallest move worth making, as a fraction of a fair share. Each move delays the requests for its keys until
+/// the work already running on them ends.
+const MOVE_SHARE_MIN: f64 = 0.06;
 
-/// Most moves of one plan, at least, and for each server: a range with two fifths of the load goes to as large a part
-/// of the servers.
+/// Lower bound of the limit on moves in one plan, and the limit for each candidate; the larger one applies.
+/// The limit grows with the number of servers because a range with two fifths of the load has to be spread
+/// over as large a part of the servers.
 const MOVES_MIN: usize = 24;
 const MOVES_PER_SERVER: f64 = 0.5;
 
-/// How much busier than the mean key those must be that are moved for relief: colder ones would be most of all
-/// keys, for little relief.
-const MOVED_DENSITY_MIN: f64 = 0.25;
+/// Lowest load of a key, relative to the mean key, at which it is moved for relief. Less busy keys make up
+/// most of the key space and bring little relief.
+const MOVE_DENSITY_MIN: f64 = 0.25;
 
-/// Servers that the keys of a lost one go to, at least where it held a fair share.
-const SUCCESSORS_PER_SERVER: f64 = 4.0;
+/// Minimum number of servers that the keys of a lost server are spread over, if it had a fair share.
+const SUCCESSORS_PER_SERVER_MIN: f64 = 4.0;
 
-/// Ranges a server, on average, from which on the coldest are given to the server beside them: each range costs a
-/// renewal every 600 ms.
-const RANGES_PER_SERVER: f64 = 1.6;
+/// Average number of ranges for each server above which cold ranges are merged into a neighbour's. Each
+/// range costs a renewal every 600 ms.
+const RANGES_PER_SERVER_TARGET: f64 = 1.6;
 
-/// Most ranges a server, on average; at it no more moves for relief are planned until some are merged. Each is in the
-/// heartbeat of the leader, which must fit into a datagram.
+/// Average number of ranges for each server at which relief moves stop until some ranges are merged. The
+/// leader's heartbeat carries every range and must fit into a datagram.
 const RANGES_PER_SERVER_MAX: usize = 4;
 
-/// Part of a fair share up to which a range counts as cold.
+/// Load, as a fraction of a fair share, up to which a range counts as cold.
 const COLD_RANGE_SHARE: f64 = 0.08;
 
-/// Most ranges merged in one plan, at least: as many as its moves may add.
-const MERGES_PER_PLAN: usize = 48;
+/// Lower bound of the limit on merges in one plan; as many as the ranges that the plan's moves may add.
+const MERGES_MIN: usize = 48;
 
-/// An assignment of keys while it is planned.
+/// Working copy of a key assignment: the ranges, their owners and the resulting loads.
 #[derive(Debug)]
 pub(crate) struct Assignment<'a> {
-    holders: &'a [Holder],
-    line: &'a LoadCurve,
-    /// Fair load for a weight of 1.
-    unit: f64,
-    /// Ranges in the order of their keys, with their holder's number; `None` for keys of a server that is gone.
+    candidates: &'a [Holder],
+    curve: &'a LoadCurve,
+    /// Fair load for a weight of 1, in requests.
+    unit_load: f64,
+    /// Ranges in key order, each with the index of its owner in `candidates`; `None` if the keys have no
+    /// owner.
     ranges: Vec<(KeyRange, Option<usize>)>,
-    /// Load by holder.
+    /// Load of each candidate, in requests.
     loads: Vec<f64>,
 }
 
 impl<'a> Assignment<'a> {
-    /// Begins with what is assigned; keys of servers that are no holders, and of none, are free.
+    /// Builds the working copy from the current assignment. Keys without an owner, or whose owner is no
+    /// candidate, become unowned.
     pub(crate) fn new(
         spans: &[OwnedRange],
-        holders: &'a [Holder],
-        line: &'a LoadCurve,
-        unit: f64,
+        candidates: &'a [Holder],
+        curve: &'a LoadCurve,
+        unit_load: f64,
     ) -> Self {
-        let numbers: BTreeMap<&Life, usize> = holders.iter().map(|h| &h.life).zip(0..).collect();
+        let indices: BTreeMap<&Life, usize> = candidates.iter().map(|h| &h.life).zip(0..).collect();
         let mut ranges = Vec::with_capacity(spans.len());
         let mut next = 0_u32;
         for owned in spans {
@@ -76,7 +80,7 @@
                 };
                 ranges.push((gap, None));
             }
-            ranges.push((owned.span, numbers.get(&owned.owner).copied()));
+            ranges.push((owned.span, indices.get(&owned.owner).copied()));
             next = u32::from(owned.span.last) + 1;
         }
         if next <= u32::from(u16::MAX) {
@@ -85,218 +89,228 @@
             ranges.push((KeyRange { first, last }, None));
         }
         let mut this = Self {
-            holders,
-            line,
-            unit,
+            candidates,
+            curve,
+            unit_load,
             ranges,
-            loads: vec![0.0; holders.len()],
+            loads: vec![0.0; candidates.len()],
         };
-        this.join();
-        for (span, holder) in &this.ranges {
-            if let Some(holder) = holder {
-                this.loads[*holder] += line.load(*span);
+        this.join_adjacent();
+        for (span, owner) in &this.ranges {
+            if let Some(owner) = owner {
+                this.loads[*owner] += curve.load(*span);
             }
         }
         this
     }
 
-    /// Tells whether any holder has keys.
-    pub(crate) fn is_held(&self) -> bool {
-        self.ranges.iter().any(|(_, holder)| holder.is_some())
+    /// Returns `true` if any candidate owns keys.
+    pub(crate) fn has_owners(&self) -> bool {
+        self.ranges.iter().any(|(_, owner)| owner.is_some())
     }
 
-    /// Returns the part of the load that lies above `room` times the fair shares. A key that is busier than a server
-    /// can bear counts the same wherever it is, so it does not hide that the others lie badly.
-    /// So does load that lies within `chance` standard deviations above.
-    pub(crate) fn overload(&self, room: f64, chance: f64) -> f64 {
-        let over = (0..self.holders.len()).map(|h| {
+    /// Returns the fraction of the total load that lies above the candidates' fair shares times `margin`. Load
+    /// within `deviations` standard deviations above that does not count.
+    ///
+    /// A key too busy for one server is capped by the load curve, so it adds the same amount wherever it is
+    /// assigned and does not hide imbalance elsewhere.
+    pub(crate) fn overload(&self, margin: f64, deviations: f64) -> f64 {
+        let over = (0..self.candidates.len()).map(|h| {
             let fair = self.fair(h);
-            (self.loads[h] - fair * room - fair.sqrt() * chance).max(0.0)
+            (self.loads[h] - fair * margin - fair.sqrt() * deviations).max(0.0)
         });
-        over.sum::<f64>() / self.line.total()
+        over.sum::<f64>() / self.curve.total()
     }
 
-    /// Returns the holders' loads with their fair shares.
+    /// Returns each candidate's load and fair share.
     pub(crate) fn loads(&self) -> impl Iterator<Item = (f64, f64)> {
-        (0..self.holders.len()).map(|h| (self.loads[h], self.fair(h)))
+        (0..self.candidates.len()).map(|h| (self.loads[h], self.fair(h)))
     }
 
-    /// Returns the ranges with their holders.
+    /// Returns the owned ranges with their owners.
     pub(crate) fn into_spans(self) -> Vec<OwnedRange> {
-        let holders = self.holders;
+        let candidates = self.candidates;
         let ranges = self.ranges.into_iter();
         let owned =
-            ranges.filter_map(|(span, h)| Some(OwnedRange::new(span, holders[h?].life.clone())));
+            ranges.filter_map(|(span, h)| Some(OwnedRange::new(span, candidates[h?].life.clone())));
         owned.collect()
     }
 
-    fn fair(&self, holder: usize) -> f64 {
-        self.holders[holder].weight * self.unit
+    fn fair(&self, candidate: usize) -> f64 {
+        self.candidates[candidate].weight * self.unit_load
     }
 
-    /// Returns a holder's load as a multiple of its fair share.
-    fn share(&self, holder: usize) -> f64 {
-        self.loads[holder] / self.fair(holder).max(f64::MIN_POSITIVE)
+    /// Returns a candidate's load as a multiple of its fair share.
+    fn share(&self, candidate: usize) -> f64 {
+        self.loads[candidate] / self.fair(candidate).max(f64::MIN_POSITIVE)
     }
 
-    /// Returns the load that a holder may take.
-    fn room(&self, holder: usize) -> f64 {
-        self.fair(holder) * RELIEVED_LOAD - self.loads[holder]
+    /// Returns the load that a candidate can still receive; negative if it has too much.
+    fn spare_load(&self, candidate: usize) -> f64 {
+        self.fair(candidate) * RELIEF_TARGET_RATIO - self.loads[candidate]
     }
 
-    /// Returns the holder with most room.
-    fn roomiest(&self) -> usize {
-        self.most(|holder| self.room(holder))
+    /// Returns the candidate with the most spare load.
+    fn most_spare(&self) -> usize {
+        self.highest(|candidate| self.spare_load(candidate))
     }
 
-    /// Returns the holder with the most load for its share.
+    /// Returns the candidate with the highest load relative to its fair share.
     fn busiest(&self) -> usize {
-        self.most(|holder| self.share(holder))
+        self.highest(|candidate| self.share(candidate))
     }
 
-    /// Returns the holder with the most of something; a draft has one at least.
-    fn most(&self, of: impl Fn(usize) -> f64) -> usize {
-        let all = 0..self.holders.len();
-        let most = all.max_by(|a, b| of(*a).total_cmp(&of(*b)));
-        most.unwrap_or(0)
+    /// Returns the candidate with the highest `value`. An assignment has at least one candidate.
+    fn highest(&self, value: impl Fn(usize) -> f64) -> usize {
+        let all = 0..self.candidates.len();
+        let highest = all.max_by(|a, b| value(*a).total_cmp(&value(*b)));
+        highest.unwrap_or(0)
     }
 
-    /// Gives the keys that nobody holds to those with most room, in a few pieces.
-    pub(crate) fn give_free(&mut self) {
-        let mean = self.line.total() / self.holders.len() as f64;
-        while let Some((span, _)) = self.ranges.iter().find(|(_, holder)| holder.is_none()) {
-            let least = (mean / SUCCESSORS_PER_SERVER).min(self.line.load(*span));
-            let to = self.roomiest();
-            let piece = self.line.start_of(*span, self.room(to).max(least));
+    /// Assigns unowned keys, in a few pieces, to the candidates with the most spare load.
+    pub(crate) fn assign_unowned(&mut self) {
+        let mean = self.curve.total() / self.candidates.len() as f64;
+        while let Some((span, _)) = self.ranges.iter().find(|(_, owner)| owner.is_none()) {
+            let min_load = (mean / SUCCESSORS_PER_SERVER_MIN).min(self.curve.load(*span));
+            let to = self.most_spare();
+            let piece = self
+                .curve
+                .prefix_with_load(*span, self.spare_load(to).max(min_load));
             self.assign(piece, to);
         }
     }
 
-    /// Gives a server that holds nothing a part of what the busiest have; without knowledge of the load, half of the
-    /// longest range.
-    pub(crate) fn admit(&mut self, known: bool) {
-        for new in 0..self.holders.len() {
-            if self.ranges.iter().any(|(_, holder)| *holder == Some(new)) {
+    /// Assigns keys of the busiest candidates to each candidate that has none. Without known load, such a
+    /// candidate gets half of the range with the most load for its owner's share, which is then the longest
+    /// one if weights are equal.
+    pub(crate) fn admit_new(&mut self, load_known: bool) {
+        for new in 0..self.candidates.len() {
+            if self.ranges.iter().any(|(_, owner)| *owner == Some(new)) {
                 continue;
             }
-            if known {
-                self.fill(new);
+            if load_known {
+                self.fill_new(new);
             }
             if self.loads[new] == 0.0 {
-                self.halve_for(new);
+                self.split_busiest_for(new);
             }
         }
     }
 
-    /// Moves load from the busiest to a new server, until it has about as much as they.
-    fn fill(&mut self, new: usize) {
-        for _ in 0..SUCCESSORS_PER_SERVER as usize {
+    /// Moves load from the busiest candidates to a new one until its relative load is about as high as
+    /// theirs.
+    fn fill_new(&mut self, new: usize) {
+        for _ in 0..SUCCESSORS_PER_SERVER_MIN as usize {
             let from = self.busiest();
             let gap = self.loads[from] - self.fair(from) * self.share(new);
-            let amount = (gap / 2.0).min(self.fair(new) / SUCCESSORS_PER_SERVER);
-            let Some(piece) = self.piece_of(from, amount, 0.0) else {
+            let amount = (gap / 2.0).min(self.fair(new) / SUCCESSORS_PER_SERVER_MIN);
+            let Some(piece) = self.select_piece(from, amount, 0.0) else {
                 return;
             };
             self.assign(piece, new);
         }
     }
 
-    fn halve_for(&mut self, new: usize) {
-        let long = self.ranges.iter().filter(|(span, _)| span.len() > 1);
-        let busy = |span: KeyRange, h: usize| self.line.load(span) / self.fair(h);
-        let held = long.filter_map(|(span, holder)| Some((*span, (*holder)?)));
-        let most = held.max_by(|a, b| busy(a.0, a.1).total_cmp(&busy(b.0, b.1)));
-        let Some((span, _)) = most else {
+    fn split_busiest_for(&mut self, new: usize) {
+        let splittable = self.ranges.iter().filter(|(span, _)| span.len() > 1);
+        let relative_load = |span: KeyRange, h: usize| self.curve.load(span) / self.fair(h);
+        let owned = splittable.filter_map(|(span, owner)| Some((*span, (*owner)?)));
+        let busiest =
+            owned.max_by(|a, b| relative_load(a.0, a.1).total_cmp(&relative_load(b.0, b.1)));
+        let Some((span, _)) = busiest else {
             return;
         };
-        let half = self.line.end_of(span, self.line.load(span) / 2.0);
+        let half = self
+            .curve
+            .suffix_with_load(span, self.curve.load(span) / 2.0);
         let first = half.first.max(span.first + 1);
         self.assign(KeyRange { first, ..half }, new);
     }
 
-    /// Takes load off those that have too much, the busiest first, and gives it to those with most room.
-    pub(crate) fn relieve(&mut self) {
-        let each = (self.holders.len() as f64 * MOVES_PER_SERVER) as usize;
-        for _ in 0..each.max(MOVES_MIN) {
-            if self.ranges.len() >= self.holders.len() * RANGES_PER_SERVER_MAX {
+    /// Moves load from overloaded candidates, the busiest first, to those with the most spare load.
+    pub(crate) fn relieve_overloaded(&mut self) {
+        let moves = (self.candidates.len() as f64 * MOVES_PER_SERVER) as usize;
+        for _ in 0..moves.max(MOVES_MIN) {
+            if self.ranges.len() >= self.candidates.len() * RANGES_PER_SERVER_MAX {
                 return;
             }
-            let (from, to) = (self.busiest(), self.roomiest());
-            let excess = self.loads[from] - self.fair(from) * RELIEVED_LOAD;
-            let amount = excess.min(self.room(to));
-            let least = MOVED_SHARE_MIN * self.fair(from).min(self.fair(to));
-            if from == to || amount < least {
+            let (from, to) = (self.busiest(), self.most_spare());
+            let excess = self.loads[from] - self.fair(from) * RELIEF_TARGET_RATIO;
+            let amount = excess.min(self.spare_load(to));
+            let min_amount = MOVE_SHARE_MIN * self.fair(from).min(self.fair(to));
+            if from == to || amount < min_amount {
                 return;
             }
-            let mean = self.line.total() / f64::from(KeyRange::ALL.len());
-            let Some(piece) = self.piece_of(from, amount, mean * MOVED_DENSITY_MIN) else {
+            let mean = self.curve.total() / f64::from(KeyRange::ALL.len());
+            let Some(piece) = self.select_piece(from, amount, mean * MOVE_DENSITY_MIN) else {
                 return;
             };
-            // One busy key may be more than there is room for; it moves only where that is better for both.
-            let after = (self.loads[to] + self.line.load(piece)) / self.fair(to);
-            if after >= self.share(from) {
+            // A single busy key may exceed the spare load; it moves only if the receiver ends up with a
+            // lower relative load than the current owner has.
+            let relative_load = (self.loads[to] + self.curve.load(piece)) / self.fair(to);
+            if relative_load >= self.share(from) {
                 return;
             }
             self.assign(piece, to);
         }
     }
 
-    /// Returns keys of a holder with about so much load and no more keys than needed, at least as dense as `density`
-    /// load a key.
-    fn piece_of(&self, from: usize, amount: f64, density: f64) -> Option<KeyRange> {
+    /// Returns a range of a candidate with about `amount` load and as few keys as possible, or `None` if
+    /// its load for each key is below `density`.
+    fn select_piece(&self, from: usize, amount: f64, density: f64) -> Option<KeyRange> {
         if amount <= 0.0 {
             return None;
         }
-        let own = self.ranges.iter().filter(|(_, h)| *h == Some(from));
-        let pieces: Vec<KeyRange> = own
-            .flat_map(|(s, _)| self.line.pieces(*s, amount))
+        let owned = self.ranges.iter().filter(|(_, h)| *h == Some(from));
+        let pieces: Vec<KeyRange> = owned
+            .flat_map(|(s, _)| self.curve.pieces(*s, amount))
             .collect();
-        let dense = |span: &KeyRange| self.line.load(*span) / f64::from(span.len());
-        // A key that is busier than wished moves only where nothing else does.
-        let fits = |span: &&KeyRange| self.line.load(**span) <= amount * OVERSHOOT;
-        let denser = |a: &&KeyRange, b: &&KeyRange| dense(a).total_cmp(&dense(b));
-        let fit = pieces.iter().filter(fits).max_by(denser);
-        let piece = fit.or_else(|| pieces.iter().max_by(denser));
-        piece.copied().filter(|span| dense(span) >= density)
+        let density_of = |span: &KeyRange| self.curve.load(*span) / f64::from(span.len());
+        // A piece that is much busier than requested is used only if nothing else fits.
+        let fits = |span: &&KeyRange| self.curve.load(**span) <= amount * OVERSHOOT_FACTOR;
+        let denser = |a: &&KeyRange, b: &&KeyRange| density_of(a).total_cmp(&density_of(b));
+        let fitting = pieces.iter().filter(fits).max_by(denser);
+        let piece = fitting.or_else(|| pieces.iter().max_by(denser));
+        piece.copied().filter(|span| density_of(span) >= density)
     }
 
-    /// Gives cold ranges to the server beside them, while there are more ranges than wished.
-    pub(crate) fn merge(&mut self) {
-        let wished = (self.holders.len() as f64 * RANGES_PER_SERVER).ceil() as usize;
-        for _ in 0..MERGES_PER_PLAN.max(self.holders.len()) {
-            if self.ranges.len() <= wished {
+    /// Merges cold ranges into a neighbour's while there are more ranges than the target.
+    pub(crate) fn merge_cold(&mut self) {
+        let target = (self.candidates.len() as f64 * RANGES_PER_SERVER_TARGET).ceil() as usize;
+        for _ in 0..MERGES_MIN.max(self.candidates.len()) {
+            if self.ranges.len() <= target {
                 return;
             }
-            let Some((at, to)) = self.coldest() else {
+            let Some((at, to)) = self.coldest_mergeable() else {
                 return;
             };
             self.assign(self.ranges[at].0, to);
         }
     }
 
-    /// Returns the range with the least load whose neighbour has room for it, and the neighbour; one that is all its
-    /// holder has stays.
-    fn coldest(&self) -> Option<(usize, usize)> {
+    /// Returns the index of the least loaded cold range whose neighbour has enough spare load, and that
+    /// neighbour. The only range of a candidate is not merged.
+    fn coldest_mergeable(&self) -> Option<(usize, usize)> {
         let mut best: Option<(f64, usize, usize)> = None;
-        let mut ranges_of = vec![0; self.holders.len()];
-        for holder in self.ranges.iter().filter_map(|(_, h)| *h) {
-            ranges_of[holder] += 1;
+        let mut range_counts = vec![0; self.candidates.len()];
+        for owner in self.ranges.iter().filter_map(|(_, h)| *h) {
+            range_counts[owner] += 1;
         }
-        for (at, (span, holder)) in self.ranges.iter().enumerate() {
-            let Some(holder) = *holder else {
+        for (at, (span, owner)) in self.ranges.iter().enumerate() {
+            let Some(owner) = *owner else {
                 continue;
             };
-            let load = self.line.load(*span);
-            if load > self.fair(holder) * COLD_RANGE_SHARE || ranges_of[holder] < 2 {
+            let load = self.curve.load(*span);
+            if load > self.fair(owner) * COLD_RANGE_SHARE || range_counts[owner] < 2 {
                 continue;
             }
             let before = at.checked_sub(1).and_then(|i| self.ranges.get(i));
-            let beside = [before, self.ranges.get(at + 1)];
-            let beside = beside.into_iter().flatten().filter_map(|(_, h)| *h);
-            let fits = beside.filter(|h| self.room(*h) >= load);
-            let roomy = fits.max_by(|a, b| self.room(*a).total_cmp(&self.room(*b)));
-            if let Some(to) = roomy
-                && best.is_none_or(|(least, ..)| load < least)
+            let neighbours = [before, self.ranges.get(at + 1)];
+            let neighbours = neighbours.into_iter().flatten().filter_map(|(_, h)| *h);
+            let fits = neighbours.filter(|h| self.spare_load(*h) >= load);
+            let receiver = fits.max_by(|a, b| self.spare_load(*a).total_cmp(&self.spare_load(*b)));
+            if let Some(to) = receiver
+                && best.is_none_or(|(min_load, ..)| load < min_load)
             {
                 best = Some((load, at, to));
             }
@@ -304,31 +318,31 @@
         best.map(|(_, at, to)| (at, to))
     }
 
-    /// Gives keys, all of one range, to a holder.
+    /// Assigns `piece`, which must lie within one range, to a candidate.
     fn assign(&mut self, piece: KeyRange, to: usize) {
         let Some(at) = self.ranges.iter().position(|(s, _)| s.has(piece.first)) else {
             return;
         };
         let (span, from) = self.ranges[at];
-        let load = self.line.load(piece);
+        let load = self.curve.load(piece);
         if let Some(from) = from {
             self.loads[from] -= load;
         }
         self.loads[to] += load;
         let rest = span.without(piece).into_iter().map(|s| (s, from));
-        let mut parts: Vec<_> = rest.chain([(piece, Some(to))]).collect();
-        parts.sort_by_key(|(s, _)| *s);
-        self.ranges.splice(at..=at, parts);
-        self.join();
+        let mut pieces: Vec<_> = rest.chain([(piece, Some(to))]).collect();
+        pieces.sort_by_key(|(s, _)| *s);
+        self.ranges.splice(at..=at, pieces);
+        self.join_adjacent();
     }
 
-    /// Joins ranges of one holder that lie side by side.
-    fn join(&mut self) {
+    /// Joins adjacent ranges with the same owner.
+    fn join_adjacent(&mut self) {
         let mut joined: Vec<(KeyRange, Option<usize>)> = Vec::with_capacity(self.ranges.len());
-        for (span, holder) in self.ranges.drain(..) {
+        for (span, owner) in self.ranges.drain(..) {
             match joined.last_mut() {
-                Some((before, same)) if *same == holder => before.last = span.last,
-                _ => joined.push((span, holder)),
+                Some((before, last_owner)) if *last_owner == owner => before.last = span.last,
+                _ => joined.push((span, owner)),
             }
         }
         self.ranges = joined;
--- a/crates/chicoryrail-ownership/src/keys/due.rs
+++ b/crates/chicoryrail-ownership/src/keys/due.rs
@@ -1,4 +1,4 @@
-//! What a leases wants done next.
+//! Selection of the calls and writes that are due for a service's keys.
 
 use std::collections::BTreeMap;
 
@@ -8,74 +8,77 @@
 use crate::keys::KeyAction;
 use crate::keys::KeyLeases;
 use crate::keys::KeyRange;
-use crate::keys::claim::Live;
+use crate::keys::lease::ConfirmedLease;
 use crate::keys::server_state::ServerState;
 
-/// Age of the last sight of a server's registration up to which it is worth a probe.
-const CONFIRMATION_AGE_MAX: Millis = Millis(1_000);
+/// Maximum age of a server's last seen registration for which the server is still probed.
+const REGISTRATION_AGE_MAX: Millis = Millis(1_000);
 
-/// Releases that are under way at one server at a time; each has a connection of its own.
-const RELEASES_PER_SERVER: usize = 4;
+/// Maximum number of concurrent releases at one server; each uses its own connection.
+const RELEASES_PER_SERVER_MAX: usize = 4;
 
 impl KeyLeases {
-    /// Returns what is due now.
+    /// Returns the actions that are due now; none once the leader is deposed.
     pub fn due(&mut self, now: Millis) -> Vec<KeyAction> {
         if self.deposed {
             return Vec::new();
         }
-        self.settle(now);
-        if let Some(next) = &self.writing {
-            // What is held is renewed meanwhile; nothing new is granted under a table that is about to
-            // change. The write comes last: what is renewed now must be reckoned with when it is done.
-            let mut duties = self.grants(now, false);
-            duties.push(KeyAction::Commit(next.clone()));
-            return duties;
+        self.expire_leases(now);
+        if let Some(next) = &self.pending_record {
+            // Leases are renewed during a write, but nothing new is granted under a record that is about to
+            // be replaced. The write comes last, so that the leases that result from the renewals are
+            // accounted for when it completes.
+            let mut actions = self.due_grants(now, false);
+            actions.push(KeyAction::Commit(next.clone()));
+            return actions;
         }
-        let mut duties = self.grants(now, true);
-        duties.extend(self.releases(now));
-        duties.extend(self.probes(now));
-        duties
+        let mut actions = self.due_grants(now, true);
+        actions.extend(self.due_releases(now));
+        actions.extend(self.due_probes(now));
+        actions
     }
 
-    /// Drops the claims that have run out or whose server's life has ended, and what owners no longer
-    /// hold for want of a renewal.
-    fn settle(&mut self, now: Millis) {
-        let lapse = self.timing.hold - self.timing.renew;
+    /// Drops former leases that have expired or whose server incarnation has ended, and confirmed leases
+    /// that expired for lack of a renewal.
+    fn expire_leases(&mut self, now: Millis) {
+        let grace = self.timing.hold - self.timing.renew;
         for state in self.servers.values_mut() {
-            state.live.retain(|l| now < l.due + lapse);
+            state.confirmed.retain(|l| now < l.renew_at + grace);
         }
-        let (servers, waited_out) = (&self.servers, &mut self.waited_out);
-        self.claims.retain(|c| {
+        let (servers, expired) = (&self.servers, &mut self.expired);
+        self.former_leases.retain(|c| {
             let ended = servers.get(&c.owned.owner).is_none_or(|s| s.ended);
-            if !ended && now >= c.until {
-                waited_out.push(c.owned.clone());
+            if !ended && now >= c.expires_at {
+                expired.push(c.owned.clone());
             }
-            !ended && now < c.until
+            !ended && now < c.expires_at
         });
     }
 
-    /// Returns the grants that are due, at most one for each server; without `fresh` only renewals.
-    fn grants(&self, now: Millis, fresh: bool) -> Vec<KeyAction> {
+    /// Returns the grants that are due, at most one for each server. Without `allow_new`, returns only
+    /// renewals.
+    fn due_grants(&self, now: Millis, allow_new: bool) -> Vec<KeyAction> {
         let servers = self.servers.iter();
-        let grants = servers.filter_map(|(life, state)| self.grant(now, life, state, fresh));
+        let grants =
+            servers.filter_map(|(life, state)| self.next_grant(now, life, state, allow_new));
         grants.collect()
     }
 
-    /// Returns the next grant for a server: first what it holds and must renew, then what it is to hold
-    /// and nobody else may hold any more.
-    fn grant(
+    /// Returns the next grant for a server: first a renewal that is due, then keys that are assigned to it
+    /// and that no other server may still hold.
+    fn next_grant(
         &self,
         now: Millis,
         life: &Life,
         state: &ServerState,
-        fresh: bool,
+        allow_new: bool,
     ) -> Option<KeyAction> {
-        if state.granting.is_some() || !state.is_there() || now < state.retry {
+        if state.pending_grant.is_some() || !state.is_callable() || now < state.retry_at {
             return None;
         }
-        let renewed = renewal(now, &state.live).map(|span| (span, None));
+        let renewed = due_renewal(now, &state.confirmed).map(|span| (span, None));
         let (span, handover) =
-            renewed.or_else(|| fresh.then(|| self.fresh(life, state)).flatten())?;
+            renewed.or_else(|| allow_new.then(|| self.grantable(life, state)).flatten())?;
         Some(KeyAction::Grant {
             life: life.clone(),
             addr: state.addr,
@@ -85,36 +88,45 @@
         })
     }
 
-    /// Returns keys that a server does not hold yet and that nobody else may hold. What was released
-    /// with a token is granted by itself, so that the token goes along.
-    fn fresh(&self, life: &Life, state: &ServerState) -> Option<(KeyRange, Option<String>)> {
-        let missing = state.not_live();
-        missing.first()?;
-        let others = self.claims.iter().filter(|c| c.owned.owner != *life);
-        let free = missing
+    /// Returns keys that are assigned to a server, not granted to it yet and not held by any other. Keys
+    /// that were released with a handover token are granted separately, so that the grant carries the
+    /// token.
+    fn grantable(&self, life: &Life, state: &ServerState) -> Option<(KeyRange, Option<String>)> {
+        let unconfirmed = state.unconfirmed();
+        unconfirmed.first()?;
+        let others = self.former_leases.iter().filter(|c| c.owned.owner != *life);
+        let free = unconfirmed
             .without(others.map(|c| c.owned.span))
-            .without(state.releasing.iter().copied());
-        let mut passed = self.freed.iter().filter(|f| f.token.is_some());
-        let passed = passed.find_map(|f| Some((free.meet(f.span)?, f.token.clone())));
-        passed.or_else(|| free.first().map(|span| (span, None)))
+            .without(state.pending_releases.iter().copied());
+        let mut handed_over = self.released_keys.iter().filter(|f| f.handover.is_some());
+        let handed_over =
+            handed_over.find_map(|f| Some((free.first_overlap(f.span)?, f.handover.clone())));
+        handed_over.or_else(|| free.first().map(|span| (span, None)))
     }
 
-    /// Returns the releases that are due. They go out side by side, and beside the renewals of what their server
-    /// keeps: each is answered when the work on its keys has ended, which may take most of a second.
-    fn releases(&self, now: Millis) -> Vec<KeyAction> {
-        let mut duties: Vec<KeyAction> = Vec::new();
-        let mut asked: BTreeMap<&Life, usize> = BTreeMap::new();
-        for claim in &self.claims {
-            let (life, span) = (&claim.owned.owner, claim.owned.span);
+    /// Returns the releases that are due. They run concurrently, also with the renewals of the keys that
+    /// the server keeps, because the answer to a release arrives only when the work on its keys has ended,
+    /// which may take most of a second.
+    fn due_releases(&self, now: Millis) -> Vec<KeyAction> {
+        let mut actions: Vec<KeyAction> = Vec::new();
+        let mut in_flight: BTreeMap<&Life, usize> = BTreeMap::new();
+        for former in &self.former_leases {
+            let (life, span) = (&former.owned.owner, former.owned.span);
             let Some(state) = self.servers.get(life) else {
                 continue;
             };
-            let under_way = state.releasing.iter().chain(&state.granting);
-            let free = under_way.clone().all(|s| s.meet(span).is_none());
-            let asked = asked.entry(life).or_insert(state.releasing.len());
-            if free && *asked < RELEASES_PER_SERVER && state.is_there() && now >= claim.retry {
-                *asked += 1;
-                duties.push(KeyAction::Release {
+            let pending = state.pending_releases.iter().chain(&state.pending_grant);
+            let free = pending.clone().all(|s| s.intersect(span).is_none());
+            let in_flight = in_flight
+                .entry(life)
+                .or_insert(state.pending_releases.len());
+            if free
+                && *in_flight < RELEASES_PER_SERVER_MAX
+                && state.is_callable()
+                && now >= former.retry_at
+            {
+                *in_flight += 1;
+                actions.push(KeyAction::Release {
                     life: life.clone(),
                     addr: state.addr,
                     span,
@@ -122,19 +134,19 @@
                 });
             }
         }
-        duties
+        actions
     }
 
-    /// Returns the probes of lost servers that are due: a release of everything, which is never refused and
-    /// takes nothing from one that holds nothing.
-    fn probes(&self, now: Millis) -> Vec<KeyAction> {
-        let named = self.named();
+    /// Returns the probes of lost servers that are due. A probe is a release of all keys: a server never
+    /// refuses it, and it has no effect on a server without keys.
+    fn due_probes(&self, now: Millis) -> Vec<KeyAction> {
+        let owners = self.named();
         let lost = self.servers.iter().filter(|(life, s)| {
-            let there = now.since(s.seen) <= CONFIRMATION_AGE_MAX && s.addr.port() != 0;
-            let idle = s.granting.is_none() && s.releasing.is_empty();
-            there && idle && !s.ended && now >= s.retry && self.is_lost(now, life)
+            let registered = now.since(s.last_seen) <= REGISTRATION_AGE_MAX && s.addr.port() != 0;
+            let idle = s.pending_grant.is_none() && s.pending_releases.is_empty();
+            registered && idle && !s.ended && now >= s.retry_at && self.is_lost(now, life)
         });
-        let lost = lost.filter(|(life, _)| !named.contains(life));
+        let lost = lost.filter(|(life, _)| !owners.contains(life));
         let probe = |(life, state): (&Life, &ServerState)| KeyAction::Release {
             life: life.clone(),
             addr: state.addr,
@@ -145,21 +157,21 @@
     }
 }
 
-/// Returns the keys that a server must renew: with a piece that is due, all that adjoin it.
-fn renewal(now: Millis, live: &[Live]) -> Option<KeyRange> {
-    let mut live = live.to_vec();
-    live.sort_by_key(|l| l.span);
-    let mut run: Option<(KeyRange, bool)> = None;
-    for piece in live {
-        let (span, due) = (piece.span, now >= piece.due);
-        run = match run {
-            Some((whole, was)) if u32::from(whole.last) + 1 >= u32::from(span.first) => {
+/// Returns the range that a server must renew: a piece that is due together with all pieces adjacent to it.
+fn due_renewal(now: Millis, confirmed: &[ConfirmedLease]) -> Option<KeyRange> {
+    let mut confirmed = confirmed.to_vec();
+    confirmed.sort_by_key(|l| l.span);
+    let mut current: Option<(KeyRange, bool)> = None;
+    for lease in confirmed {
+        let (span, due) = (lease.span, now >= lease.renew_at);
+        current = match current {
+            Some((whole, any_due)) if u32::from(whole.last) + 1 >= u32::from(span.first) => {
                 let last = whole.last.max(span.last);
-                Some((KeyRange { last, ..whole }, was || due))
+                Some((KeyRange { last, ..whole }, any_due || due))
             }
             Some((whole, true)) => return Some(whole),
             _ => Some((span, due)),
         };
     }
-    run.filter(|(_, due)| *due).map(|(span, _)| span)
+    current.filter(|(_, due)| *due).map(|(span, _)| span)
 }
--- a/crates/chicoryrail-ownership/src/keys/key_action.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_action.rs
@@ -1,4 +1,4 @@
-//! What a leases wants done, and how it ended.
+//! Actions that the key leases require, and their outcomes.
 
 use std::net::SocketAddr;
 
@@ -7,57 +7,58 @@
 use crate::keys::KeyRange;
 use crate::keys::KeyRecord;
 
-/// Something that the leader has to do for a service's keys.
+/// Action that the leader has to perform for a service's keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyAction {
-    /// Grant keys, or renew them.
+    /// Grant keys to a server, or renew their lease.
     Grant {
-        /// Server.
+        /// Server incarnation that receives the keys.
         life: Life,
-        /// Its address.
+        /// Address of the server.
         addr: SocketAddr,
-        /// Keys.
+        /// Range of keys to grant.
         span: KeyRange,
-        /// Fence.
+        /// Fence (fencing token) of the grant.
         fence: u64,
-        /// Token of the last holder's release.
+        /// Handover token from the previous owner's release.
         handover: Option<String>,
     },
-    /// Take keys back.
+    /// Take keys back from a server.
     Release {
-        /// Server.
+        /// Server incarnation that releases the keys.
         life: Life,
-        /// Its address.
+        /// Address of the server.
         addr: SocketAddr,
-        /// Keys.
+        /// Range of keys to release.
         span: KeyRange,
-        /// Fence.
+        /// Fence (fencing token) of the release.
         fence: u64,
     },
-    /// Write the record, under the condition that this process is the leader.
+    /// Write the record, on condition that this process is still the leader.
     Commit(KeyRecord),
 }
 
-/// How a grant ended.
+/// Outcome of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantEnd {
-    /// The server holds the keys.
+    /// The server accepted the grant and holds the keys.
     Held,
-    /// The server has seen a higher fence: there is another leader.
+    /// The server has seen a higher fence, so there is another leader.
     FenceOld,
-    /// Another server has the address: the one that was meant has ended there.
+    /// Another server answered at the address, so the intended incarnation has ended.
     OtherServer,
-    /// Nothing is known; the grant may still arrive.
+    /// No answer: the outcome is indeterminate, and the grant may still arrive.
     Silent,
 }
 
-/// How a release ended.
+/// Outcome of a release.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReleaseEnd {
-    /// The server holds the keys no more and works on none of them.
+    /// The server no longer holds the keys and no work is running on them. Carries the handover token, if
+    /// any.
     Free(Option<String>),
-    /// Another server has the address: the one that was meant has ended there.
+    /// Another server answered at the address, so the intended incarnation has ended.
     OtherServer,
-    /// Nothing is known.
+    /// No answer: the outcome is indeterminate.
     Silent,
 }
--- a/crates/chicoryrail-ownership/src/keys/key_leases.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_leases.rs
@@ -1,4 +1,4 @@
-//! The leader's leases of one service's keys.
+//! The leader's key leases of one service.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -14,316 +14,324 @@
 use crate::keys::KeyTiming;
 use crate::keys::OwnedRange;
 use crate::keys::ReleaseEnd;
-use crate::keys::claim::Claim;
-use crate::keys::claim::Freed;
-use crate::keys::record::by_owner;
+use crate::keys::lease::FormerLease;
+use crate::keys::lease::ReleasedKeys;
+use crate::keys::record::ranges_by_owner;
 use crate::keys::server_state::ServerState;
 
-/// Where a server is of which only the record tells.
-const UNKNOWN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// Placeholder address of a server that is known only from the record.
+const UNKNOWN_ADDR: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// Keeps the keys of one service, in one term of leadership.
+/// Tracks and changes the key leases of one service during one term of leadership.
 ///
-/// Safety rests on three things. The record is in the store before a grant under it is sent. A key is
-/// granted to another server only after its former holder answered a release, its hold has surely run
-/// out, or its life has ended. And a new leader first writes the old table under a higher fence and
-/// grants it again, so that an older leader's renewals are refused; for a server that it can't reach it
-/// waits as long as the older leader may have gone on.
+/// Three rules ensure that no two servers hold a key at the same time:
+///
+/// - A record is in the store before any grant under it is sent.
+/// - A key is granted to another server only after its former owner answered a release, the former owner's
+///   lease has certainly expired, or the former owner's incarnation has ended.
+/// - A new leader first writes the existing assignment under a higher fence and grants it again, so that
+///   servers refuse an older leader's renewals. For a server that it can't reach, it waits for as long as
+///   the older leader may have kept renewing.
 #[derive(Debug)]
 pub struct KeyLeases {
     pub(super) timing: KeyTiming,
     pub(super) record: KeyRecord,
     pub(super) servers: BTreeMap<Life, ServerState>,
-    pub(super) claims: Vec<Claim>,
-    pub(super) freed: Vec<Freed>,
-    pub(super) writing: Option<KeyRecord>,
-    /// Claims that ended because their time was over, not yet told.
-    pub(super) waited_out: Vec<OwnedRange>,
+    pub(super) former_leases: Vec<FormerLease>,
+    pub(super) released_keys: Vec<ReleasedKeys>,
+    pub(super) pending_record: Option<KeyRecord>,
+    /// Former owners' leases that expired and have not been returned by `take_waited_out` yet.
+    pub(super) expired: Vec<OwnedRange>,
     pub(super) deposed: bool,
-    /// How long grants last that go out now.
-    hold: Millis,
+    /// Duration of the grants sent now.
+    lease_duration: Millis,
 }
 
 impl KeyLeases {
-    /// Takes over from the record that lies in the store, at `now`.
+    /// Takes over the leadership at `now`, from the record in the store.
     ///
-    /// The first duty is to write it again under a higher fence. Whoever is named in it may hold its keys
-    /// as long as an earlier leader may have renewed them.
+    /// The first action is to write the record again under a higher fence. Every server in the record may
+    /// hold its keys for as long as an earlier leader may have renewed them.
     ///
-    /// `away` tells whether the store was away lately, so that an earlier leader may have granted for the
-    /// time of an outage.
+    /// `store_outage` is `true` if the store was unavailable recently, so that an earlier leader may have
+    /// sent grants with the longer duration for an outage.
     #[must_use]
     pub fn take_over(
         record: KeyRecord,
         timing: KeyTiming,
         now: Millis,
         attempt: u64,
-        away: bool,
+        store_outage: bool,
     ) -> Self {
-        let hold = if away {
+        let lease_duration = if store_outage {
             timing.outage_hold
         } else {
             timing.hold
         };
-        let until = now + timing.stale_leader + KeyTiming::longest(hold);
-        let claims = record.loose.iter().map(|owned| Claim {
+        let lease_until = now + timing.stale_leader + KeyTiming::max_lease(lease_duration);
+        let former_leases = record.loose.iter().map(|owned| FormerLease {
             owned: owned.clone(),
-            until,
-            retry: now,
+            expires_at: lease_until,
+            retry_at: now,
         });
-        let claims = claims.collect();
+        let former_leases = former_leases.collect();
         let mut next = record.clone();
         next.fence += 1;
         next.attempt = attempt;
         let mut this = Self {
             timing,
             servers: BTreeMap::new(),
-            claims,
-            freed: Vec::new(),
-            writing: Some(next),
-            waited_out: Vec::new(),
+            former_leases,
+            released_keys: Vec::new(),
+            pending_record: Some(next),
+            expired: Vec::new(),
             deposed: false,
-            hold: timing.hold,
+            lease_duration: timing.hold,
             record,
         };
-        let named = this.record.spans.iter().chain(&this.record.loose);
-        let named: Vec<Life> = named.map(|s| s.owner.clone()).collect();
-        for life in named {
+        let owners = this.record.spans.iter().chain(&this.record.loose);
+        let owners: Vec<Life> = owners.map(|s| s.owner.clone()).collect();
+        for life in owners {
             let state = this
                 .servers
                 .entry(life)
-                .or_insert_with(|| ServerState::new(UNKNOWN, now));
-            state.held_until = until;
-            if away {
-                state.long_until = until;
+                .or_insert_with(|| ServerState::new(UNKNOWN_ADDR, now));
+            state.lease_until = lease_until;
+            if store_outage {
+                state.outage_lease_until = lease_until;
             }
         }
         this
     }
 
-    /// Takes in whether every host says that the store is away; grants last accordingly from now on.
-    pub fn store_away(&mut self, away: bool) {
+    /// Sets whether every host reports the store as unavailable, which determines the duration of the
+    /// grants from now on.
+    pub fn store_away(&mut self, outage: bool) {
         let timing = &self.timing;
-        self.hold = if away {
+        self.lease_duration = if outage {
             timing.outage_hold
         } else {
             timing.hold
         };
     }
 
-    /// Returns how long grants last that go out now.
+    /// Returns the duration of the grants sent now.
     #[must_use]
     pub const fn hold(&self) -> Millis {
-        self.hold
+        self.lease_duration
     }
 
-    /// Returns the record in force; grants go out under its fence.
+    /// Returns the record in force; grants are sent under its fence.
     #[must_use]
     pub const fn record(&self) -> &KeyRecord {
         &self.record
     }
 
-    /// Tells whether a server has seen a higher fence, so that there is another leader.
+    /// Returns `true` if a server has seen a higher fence, which means that there is another leader.
     #[must_use]
     pub const fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// Tells whether a change of the record is under way, former holders have not been cleared yet, or keys are not
-    /// granted.
+    /// Returns `true` if a write of the record is pending, former owners may still hold keys, or assigned
+    /// keys are not granted yet.
     #[must_use]
     pub fn is_changing(&self) -> bool {
-        let granted = |s: &ServerState| s.not_live().first().is_none();
-        self.writing.is_some() || !self.claims.is_empty() || !self.servers.values().all(granted)
+        let granted = |s: &ServerState| s.unconfirmed().first().is_none();
+        self.pending_record.is_some()
+            || !self.former_leases.is_empty()
+            || !self.servers.values().all(granted)
     }
 
-    /// Tells whether the record still names former holders that hold nothing any more.
+    /// Returns `true` if the record still lists former owners that no longer hold anything.
     #[must_use]
     pub fn is_untidy(&self) -> bool {
-        self.record.loose.len() > self.claims.len()
+        self.record.loose.len() > self.former_leases.len()
     }
 
-    /// Tells whether a write of the record is due or under way.
+    /// Returns `true` if a write of the record is due or in progress.
     #[must_use]
     pub const fn is_writing(&self) -> bool {
-        self.writing.is_some()
+        self.pending_record.is_some()
     }
 
-    /// Returns the servers that are meant to hold keys, or may hold some.
+    /// Returns the servers that keys are assigned to or that may still hold keys.
     #[must_use]
     pub fn named(&self) -> Vec<Life> {
         let owners = self.record.spans.iter().map(|s| s.owner.clone());
-        let former = self.claims.iter().map(|c| c.owned.owner.clone());
+        let former = self.former_leases.iter().map(|c| c.owned.owner.clone());
         owners.chain(former).collect()
     }
 
-    /// Tells whether a server has not answered for so long that others should hold its keys.
+    /// Returns `true` if a server has left grants unanswered for so long that others should own its keys.
     #[must_use]
     pub fn is_lost(&self, now: Millis, life: &Life) -> bool {
-        let Some(since) = self.servers.get(life).and_then(|s| s.silent) else {
+        let Some(since) = self.servers.get(life).and_then(|s| s.unanswered_since) else {
             return false;
         };
         now.since(since) >= Millis(self.timing.hold.0 / 2)
     }
 
-    /// Returns the keys that former holders have kept until the end of their hold, each once.
+    /// Returns the keys whose former owner's lease ran until its end, and clears them.
     pub fn take_waited_out(&mut self) -> Vec<OwnedRange> {
-        std::mem::take(&mut self.waited_out)
+        std::mem::take(&mut self.expired)
     }
 
     /// Returns since when a server has not answered grants.
     #[must_use]
     pub fn silent_since(&self, life: &Life) -> Option<Millis> {
-        self.servers.get(life)?.silent
+        self.servers.get(life)?.unanswered_since
     }
 
-    /// Returns the keys that are meant for somebody but not granted yet.
+    /// Returns the keys that are assigned to a server but not granted to it yet.
     #[must_use]
     pub fn blocked(&self) -> Vec<KeyRange> {
         let servers = self.servers.values();
-        servers.flat_map(|s| s.not_live().into_spans()).collect()
+        servers.flat_map(|s| s.unconfirmed().into_spans()).collect()
     }
 
-    /// Takes in where a server answers.
+    /// Records a server's address and that its registration was seen now.
     pub fn server_at(&mut self, now: Millis, life: &Life, addr: SocketAddr) {
         let state = self.servers.entry(life.clone());
         let state = state.or_insert_with(|| ServerState::new(addr, now));
         state.addr = addr;
-        state.seen = now;
+        state.last_seen = now;
     }
 
-    /// Takes in that a server's life has ended, so that it holds nothing.
+    /// Records that a server incarnation has ended, so that it holds nothing.
     pub fn ended(&mut self, life: &Life) {
         if let Some(state) = self.servers.get_mut(life) {
             state.ended = true;
-            state.live.clear();
+            state.confirmed.clear();
         }
     }
 
-    /// Plans other owners; to be called while nothing is changing.
+    /// Starts a change of the owners. Must be called only while no change is pending.
     pub fn change(&mut self, spans: Vec<OwnedRange>, attempt: u64) {
-        let loose: Vec<_> = self.claims.iter().map(|c| c.owned.clone()).collect();
-        self.writing = Some(self.record.next(spans, &loose, attempt));
+        let loose: Vec<_> = self.former_leases.iter().map(|c| c.owned.clone()).collect();
+        self.pending_record = Some(self.record.next(spans, &loose, attempt));
     }
 
-    /// Takes in that the record was written.
+    /// Records that the pending record was written to the store, and applies it.
     pub fn committed(&mut self, now: Millis) {
-        let Some(next) = self.writing.take() else {
+        let Some(next) = self.pending_record.take() else {
             return;
         };
-        // A server may have got keys back since they were loose, and holds them as long as its last grant
-        // says; so each claim is reckoned anew.
-        let before = std::mem::take(&mut self.claims);
-        let claims = next.loose.iter().map(|owned| {
-            let same = |c: &&Claim| {
-                c.owned.owner == owned.owner && c.owned.span.meet(owned.span).is_some()
+        // A server may have been granted keys again after they were listed as held by a former owner, and
+        // then holds them until its last grant ends; so the end of each lease is computed again.
+        let before = std::mem::take(&mut self.former_leases);
+        let former_leases = next.loose.iter().map(|owned| {
+            let overlaps = |c: &&FormerLease| {
+                c.owned.owner == owned.owner && c.owned.span.intersect(owned.span).is_some()
             };
-            let earlier = before.iter().filter(same).map(|c| c.until).max();
-            let held = self.servers.get(&owned.owner).map(|s| s.held_until);
-            Claim {
+            let earlier_end = before.iter().filter(overlaps).map(|c| c.expires_at).max();
+            let lease_until = self.servers.get(&owned.owner).map(|s| s.lease_until);
+            FormerLease {
                 owned: owned.clone(),
-                until: held.max(earlier).unwrap_or(now),
-                retry: now,
+                expires_at: lease_until.max(earlier_end).unwrap_or(now),
+                retry_at: now,
             }
         });
-        self.claims = claims.collect();
-        let mut meant = by_owner(&next.spans);
+        self.former_leases = former_leases.collect();
+        let mut assigned = ranges_by_owner(&next.spans);
         for (life, state) in &mut self.servers {
-            state.meant(meant.remove(life).unwrap_or_default());
+            state.assign(assigned.remove(life).unwrap_or_default());
         }
-        for (life, spans) in meant {
-            let mut state = ServerState::new(UNKNOWN, now);
-            state.meant(spans);
+        for (life, spans) in assigned {
+            let mut state = ServerState::new(UNKNOWN_ADDR, now);
+            state.assign(spans);
             self.servers.insert(life.clone(), state);
         }
-        self.freed.clear();
+        self.released_keys.clear();
         self.record = next;
     }
 
-    /// Takes in that a grant is on its way: from now on it may take effect.
+    /// Records that a grant was sent; from now on it may take effect.
     pub fn granting(&mut self, now: Millis, life: &Life, span: KeyRange) {
-        let longest = self.timing.grant_limit + KeyTiming::longest(self.hold);
+        let max_lease = self.timing.grant_limit + KeyTiming::max_lease(self.lease_duration);
         if let Some(state) = self.servers.get_mut(life) {
-            state.granting = Some(span);
-            state.hold = self.hold;
-            if self.hold > self.timing.hold {
-                state.long_until = state.long_until.max(now + longest);
+            state.pending_grant = Some(span);
+            state.lease_duration = self.lease_duration;
+            if self.lease_duration > self.timing.hold {
+                state.outage_lease_until = state.outage_lease_until.max(now + max_lease);
             }
-            state.held_until = state.held_until.max(now + longest);
+            state.lease_until = state.lease_until.max(now + max_lease);
         }
     }
 
-    /// Takes in how a grant ended.
+    /// Records the outcome of a grant.
     pub fn granted(&mut self, now: Millis, life: &Life, span: KeyRange, fence: u64, end: GrantEnd) {
-        let again = now + Millis(self.timing.renew.0 / 4);
+        let retry_at = now + Millis(self.timing.renew.0 / 4);
         let Some(state) = self.servers.get_mut(life) else {
             return;
         };
-        state.granting = None;
-        let hold = KeyTiming::longest(state.hold);
+        state.pending_grant = None;
+        let max_lease = KeyTiming::max_lease(state.lease_duration);
         match end {
             GrantEnd::Held => {
-                // A server that took this fence refuses any older grant, so what an earlier leader or
-                // a lost answer left behind no longer counts.
-                state.held_until = state.long_until.max(now + hold);
-                state.silent = None;
+                // A server that accepted this fence refuses older grants, so grants of an earlier leader
+                // and grants whose answer was lost no longer count.
+                state.lease_until = state.outage_lease_until.max(now + max_lease);
+                state.unanswered_since = None;
                 if fence == self.record.fence {
-                    state.holds(now + self.timing.renew, span);
+                    state.confirm(now + self.timing.renew, span);
                 }
             }
             GrantEnd::FenceOld => self.deposed = true,
             GrantEnd::OtherServer => self.ended(&life.clone()),
             GrantEnd::Silent => {
-                state.held_until = state.held_until.max(now + hold);
-                state.retry = again;
-                state.silent.get_or_insert(now);
+                state.lease_until = state.lease_until.max(now + max_lease);
+                state.retry_at = retry_at;
+                state.unanswered_since.get_or_insert(now);
             }
         }
     }
 
-    /// Takes in that a release is on its way.
+    /// Records that a release was sent.
     pub fn releasing(&mut self, life: &Life, span: KeyRange) {
         if let Some(state) = self.servers.get_mut(life) {
-            state.releasing.push(span);
+            state.pending_releases.push(span);
         }
     }
 
-    /// Takes in how a release ended.
+    /// Records the outcome of a release.
     pub fn released(&mut self, now: Millis, life: &Life, span: KeyRange, end: ReleaseEnd) {
         let Some(state) = self.servers.get_mut(life) else {
             return;
         };
-        if let Some(at) = state.releasing.iter().position(|s| *s == span) {
-            state.releasing.swap_remove(at);
+        if let Some(at) = state.pending_releases.iter().position(|s| *s == span) {
+            state.pending_releases.swap_remove(at);
         }
         if matches!(end, ReleaseEnd::Free(_)) {
-            state.silent = None;
+            state.unanswered_since = None;
         }
         match end {
-            // The release bore a higher fence than every grant of these keys to this server, also one whose
-            // answer was lost: such a grant is refused when it takes effect.
-            ReleaseEnd::Free(token) => {
-                let freed =
-                    |c: &Claim| c.owned.owner == *life && c.owned.span.without(span).is_empty();
-                self.claims.retain(|c| !freed(c));
-                self.freed.push(Freed { span, token });
+            // The release carried a higher fence than every grant of these keys to this server, including
+            // one whose answer was lost: the server refuses such a grant when it arrives late.
+            ReleaseEnd::Free(handover) => {
+                let released = |c: &FormerLease| {
+                    c.owned.owner == *life && c.owned.span.without(span).is_empty()
+                };
+                self.former_leases.retain(|c| !released(c));
+                self.released_keys.push(ReleasedKeys { span, handover });
             }
             ReleaseEnd::OtherServer => self.ended(&life.clone()),
             ReleaseEnd::Silent => {
-                // A server that keeps keys must be renewed at once; one without may wait.
-                if state.spans.is_empty() {
-                    state.retry = now + self.timing.probe;
+                // A server that keeps other keys must be renewed at once; one without keys can wait.
+                if state.assigned.is_empty() {
+                    state.retry_at = now + self.timing.probe;
                 }
-                self.retry(life, span, now + Millis(self.timing.renew.0 / 4));
+                self.retry_release(life, span, now + Millis(self.timing.renew.0 / 4));
             }
         }
     }
 
-    fn retry(&mut self, life: &Life, span: KeyRange, at: Millis) {
-        let claims = self.claims.iter_mut();
-        let same = |c: &&mut Claim| c.owned.owner == *life && c.owned.span.meet(span).is_some();
-        for claim in claims.filter(same) {
-            claim.retry = at;
+    fn retry_release(&mut self, life: &Life, span: KeyRange, at: Millis) {
+        let former_leases = self.former_leases.iter_mut();
+        let overlaps =
+            |c: &&mut FormerLease| c.owned.owner == *life && c.owned.span.intersect(span).is_some();
+        for former in former_leases.filter(overlaps) {
+            former.retry_at = at;
         }
     }
 }
--- a/crates/chicoryrail-ownership/src/keys/key_load.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_load.rs
@@ -1,24 +1,25 @@
-//! How busy each key is.
+//! Request load of each key.
 
 use chicoryrail_core::Millis;
 
 use crate::keys::KeyRange;
 
-/// Keys of the whole space. Each is counted by itself: a few dozen side by side may carry a third of the load of
-/// hundreds of servers, and two that counted as one would have to share a server.
-const KEYS: usize = 65_536;
+/// Number of keys in the key space. Each key is counted separately: a few dozen adjacent keys may carry a
+/// third of the load of hundreds of servers, and two keys counted as one could not be split between
+/// servers.
+const KEY_COUNT: usize = 65_536;
 
-/// How far back a look at the load goes.
+/// Time window over which load is averaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Window {
-    /// The last moments: which range has grown busy just now.
+    /// About the last second: shows which range has just become busy.
     Short,
-    /// The last seconds: enough requests to tell a busy server from chance.
+    /// The last few seconds: enough requests to tell a busy server from random variation.
     Long,
 }
 
 impl Window {
-    /// Returns the time in which the weight of what was seen halves.
+    /// Returns the time in which the weight of a request halves.
     const fn half_life(self) -> Millis {
         match self {
             Self::Short => Millis(800),
@@ -27,82 +28,83 @@
     }
 }
 
-/// Requests by key, the recent ones weighing more.
+/// Exponentially decaying request counts by key, for both windows.
 #[derive(Clone, Debug, Default)]
 pub struct KeyLoad {
-    short: Fading,
-    long: Fading,
-    aged: Millis,
+    short: DecayingCounts,
+    long: DecayingCounts,
+    decayed_at: Millis,
 }
 
-/// Requests by key, fading.
+/// Exponentially decaying request counts by key.
 #[derive(Clone, Debug)]
-struct Fading {
+struct DecayingCounts {
     keys: Vec<f32>,
     total: f64,
 }
 
-impl Default for Fading {
+impl Default for DecayingCounts {
     fn default() -> Self {
         Self {
-            keys: vec![0.0; KEYS],
+            keys: vec![0.0; KEY_COUNT],
             total: 0.0,
         }
     }
 }
 
-impl Fading {
+impl DecayingCounts {
     fn seen(&mut self, key: u16) {
         self.keys[usize::from(key)] += 1.0;
         self.total += 1.0;
     }
 
-    fn fade(&mut self, passed: Millis, half_life: Millis) {
-        let keep = 0.5_f64.powf(passed.0 as f64 / half_life.0 as f64);
+    fn decay(&mut self, elapsed: Millis, half_life: Millis) {
+        let factor = 0.5_f64.powf(elapsed.0 as f64 / half_life.0 as f64);
         for load in &mut self.keys {
-            *load *= keep as f32;
+            *load *= factor as f32;
         }
-        self.total *= keep;
+        self.total *= factor;
     }
 }
 
 impl KeyLoad {
-    /// Takes in requests for a key.
+    /// Records a request for a key.
     pub fn seen(&mut self, key: u16) {
         self.short.seen(key);
         self.long.seen(key);
     }
 
-    /// Lets what was seen fade.
+    /// Decays the counts up to `now`. Does nothing if less than a quarter of the short half-life has
+    /// passed.
     pub fn age(&mut self, now: Millis) {
-        let passed = now.since(self.aged);
-        if passed.0 < Window::Short.half_life().0 / 4 {
+        let elapsed = now.since(self.decayed_at);
+        if elapsed.0 < Window::Short.half_life().0 / 4 {
             return;
         }
-        self.aged = now;
-        self.short.fade(passed, Window::Short.half_life());
-        self.long.fade(passed, Window::Long.half_life());
+        self.decayed_at = now;
+        self.short.decay(elapsed, Window::Short.half_life());
+        self.long.decay(elapsed, Window::Long.half_life());
     }
 
-    /// Returns what was seen over the last seconds, in requests.
+    /// Returns the total load over the long window, in requests.
     #[must_use]
     pub fn total(&self) -> f64 {
         self.long.total
     }
 
-    /// Returns the load of a range over the last seconds.
+    /// Returns the load of a range over the long window, in requests.
     #[must_use]
     pub fn of(&self, span: KeyRange) -> f64 {
         let keys = &self.long.keys[usize::from(span.first)..=usize::from(span.last)];
         keys.iter().map(|load| f64::from(*load)).sum()
     }
 
-    /// Iterates over the load of the keys, in their order.
+    /// Iterates over the loads of all keys in key order, in requests.
     pub(crate) fn keys(&self, window: Window) -> impl Iterator<Item = f64> {
-        let fading = match window {
+        let counts = match window {
             Window::Short => &self.short,
             Window::Long => &self.long,
         };
-        fading.keys.iter().map(|load| f64::from(*load))
+        counts.keys.iter().map(|load| f64::from(*load))
     }
 }
--- a/crates/chicoryrail-ownership/src/keys/key_view.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_view.rs
@@ -1,4 +1,4 @@
-//! Who holds which keys of a service, as far as this host has heard.
+//! Key owners of a service as known to this host.
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
@@ -6,84 +6,87 @@
 use crate::keys::KeyRange;
 use crate::keys::KeyRecord;
 
-/// Longest time for which a key that changes hands is taken as not granted yet, while nothing is heard
-/// from the leader. After that its meant owner is asked; one that does not hold the key says so.
-const KEY_UPDATE_AGE_MAX: Millis = Millis(400);
+/// Maximum time for which a reassigned key counts as not granted yet while the leader sends no update.
+/// After it, requests go to the assigned owner, which rejects those for keys that it does not hold.
+const KEY_UPDATE_TIMEOUT: Millis = Millis(400);
 
-/// Who holds a key.
+/// Owner of a key, as far as this host knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyOwner {
-    /// This server.
+    /// The server holds the key.
     Held(Life),
-    /// Nobody yet: it is on its way to a server.
+    /// The key is assigned to a server but not granted to it yet.
     Moving,
-    /// Nobody is meant to hold it.
+    /// The key is assigned to no server.
     Nobody,
 }
 
-/// Who holds which keys of a service, as far as this host has heard.
+/// Key owners of a service as known to this host.
 ///
-/// The store tells who is meant to hold them; the leader tells the hosts directly which of them were
-/// granted, as that changes within milliseconds.
+/// The assignment comes from the store. Which of the assigned keys are granted changes within milliseconds,
+/// so the leader sends that directly to the hosts.
 #[derive(Debug, Default)]
 pub struct KeyView {
     record: KeyRecord,
-    before: KeyRecord,
-    changed: Millis,
-    /// Fence for which the leader's update is known.
-    told: u64,
+    previous: KeyRecord,
+    changed_at: Millis,
+    /// Fence that the leader's last update of ungranted keys is valid for.
+    blocked_fence: u64,
     blocked: Vec<KeyRange>,
 }
 
 impl KeyView {
-    /// Takes in a record of the store or of the leader; an older one changes nothing.
+    /// Applies a record from the store or from the leader and returns `true`; returns `false` if its fence
+    /// is not higher than that of the current one.
     pub fn record(&mut self, now: Millis, record: KeyRecord) -> bool {
         if record.fence <= self.record.fence {
             return false;
         }
-        self.before = std::mem::replace(&mut self.record, record);
-        self.changed = now;
+        self.previous = std::mem::replace(&mut self.record, record);
+        self.changed_at = now;
         true
     }
 
-    /// Takes in which keys the leader has not granted yet under a fence.
+    /// Applies the list of keys that the leader has not granted yet under a fence. An update with an older
+    /// fence is ignored.
     pub fn blocked(&mut self, fence: u64, blocked: Vec<KeyRange>) {
-        if fence >= self.told {
-            self.told = fence;
+        if fence >= self.blocked_fence {
+            self.blocked_fence = fence;
             self.blocked = blocked;
         }
     }
 
-    /// Returns the fence of the record.
+    /// Returns the fence of the current record.
     #[must_use]
     pub const fn fence(&self) -> u64 {
         self.record.fence
     }
 
-    /// Returns the record in force.
+    /// Returns the current record.
     #[must_use]
     pub const fn record_in_force(&self) -> &KeyRecord {
         &self.record
     }
 
-    /// Returns who is meant to hold a key, granted or not.
+    /// Returns the server that a key is assigned to, whether or not it has been granted.
     #[must_use]
     pub fn meant(&self, key: u16) -> Option<&Life> {
         self.record.owner(key)
     }
 
-    /// Returns who holds a key.
+    /// Returns the owner of a key, taking keys that are not granted yet into account.
     #[must_use]
     pub fn owner(&self, now: Millis, key: u16) -> KeyOwner {
         let Some(owner) = self.record.owner(key) else {
             return KeyOwner::Nobody;
         };
-        let moving = if self.told == self.record.fence {
+        let moving = if self.blocked_fence == self.record.fence {
             self.blocked.iter().any(|s| s.has(key))
         } else {
-            // A host that has just started knows no change: the record may have stood for long.
-            let stays = self.before.fence == 0 || self.before.owner(key) == Some(owner);
-            !stays && now < self.changed + KEY_UPDATE_AGE_MAX
+            // A host that has just started knows no previous record: the current one may have been in force
+            // for long.
+            let unchanged = self.previous.fence == 0 || self.previous.owner(key) == Some(owner);
+            !unchanged && now < self.changed_at + KEY_UPDATE_TIMEOUT
         };
         if moving {
             KeyOwner::Moving
--- /dev/null
+++ b/crates/chicoryrail-ownership/src/keys/lease.rs
@@ -0,0 +1,31 @@
+//! Key leases as the leader tracks them.
+
+use chicoryrail_core::Millis;
+
+use crate::keys::KeyRange;
+use crate::keys::OwnedRange;
+
+/// Keys that a former owner may still hold.
+#[derive(Clone, Debug)]
+pub(crate) struct FormerLease {
+    pub(crate) owned: OwnedRange,
+    /// When the former owner's lease has certainly expired.
+    pub(crate) expires_at: Millis,
+    /// Earliest time of the next release attempt.
+    pub(crate) retry_at: Millis,
+}
+
+/// Keys that their former owner released, with the handover token for the next owner.
+#[derive(Clone, Debug)]
+pub(crate) struct ReleasedKeys {
+    pub(crate) span: KeyRange,
+    pub(crate) handover: Option<String>,
+}
+
+/// Keys whose owner has confirmed the grant.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ConfirmedLease {
+    pub(crate) span: KeyRange,
+    /// When the lease is due for renewal.
+    pub(crate) renew_at: Millis,
+}
--- a/crates/chicoryrail-ownership/src/keys/mod.rs
+++ b/crates/chicoryrail-ownership/src/keys/mod.rs
@@ -1,16 +1,16 @@
-//! Which server holds which keys, kept by one leader for servers that check fences themselves.
+//! Assignment of keys to servers, managed by one leader; servers check fencing tokens themselves.
 //!
-//! A [`KeyRecord`] lies in the store and is changed by compare-and-swap before any grant under it goes
-//! out. A [`KeyLeases`] is the leader's view of one service: it says which grants, releases and writes are
-//! due and takes in how they ended. A [`Plan`] says which ranges of keys each server should hold.
+//! A [`KeyRecord`] is kept in the store and changed by compare-and-swap before any grant under it is sent.
+//! [`KeyLeases`] is the leader's state machine for one service: it returns the grants, releases and writes
+//! that are due and is given their outcomes. A [`Plan`] determines which key ranges each server should own.
 
 mod assignment;
-mod claim;
 mod due;
 mod key_action;
 mod key_leases;
 mod key_load;
 mod key_view;
+mod lease;
 mod load_curve;
 mod plan;
 mod range_set;
@@ -29,7 +29,7 @@
 pub use plan::Holder;
 pub use plan::Moves;
 pub use plan::Plan;
-pub use plan::recut;
+pub use plan::split_key_space;
 pub use record::KeyRange;
 pub use record::KeyRecord;
 pub use record::OwnedRange;
--- a/crates/chicoryrail-ownership/src/keys/plan.rs
+++ b/crates/chicoryrail-ownership/src/keys/plan.rs
@@ -1,4 +1,4 @@
-//! Which keys each server should hold.
+//! Planning of the key ranges that each server should own.
 
 use std::collections::BTreeSet;
 
@@ -12,130 +12,140 @@
 use crate::keys::assignment::Assignment;
 use crate::keys::load_curve::LoadCurve;
 
-/// Part of the whole load that a new cut must bring below the servers' fair shares to be worth the moves. Below it,
-/// moves follow chance.
+/// Minimum fraction of the total load by which a plan must reduce the load above the fair shares. Smaller gains
+/// are random variation and not worth the moves.
 const OVERLOAD_GAIN_MIN: f64 = 0.02;
 
-/// Load over the fair share up to which a server is not overloaded.
+/// Load relative to the fair share up to which a server does not count as overloaded.
 const FAIR_SHARE_MARGIN: f64 = 1.15;
 
-/// Load over the fair share from which a server is relieved at once.
+/// Load relative to the fair share above which a server is relieved at once.
 const RELIEF_THRESHOLD: f64 = 1.4;
 
-/// Standard deviations of chance beside it: a server's requests of the last second or two are a few dozen.
+/// Standard deviations added to that threshold: the short window holds only a few dozen requests for each
+/// server, so its load varies randomly.
 const RELIEF_DEVIATIONS: f64 = 1.5;
 
-/// Standard deviations of chance that count as no overload where nothing is urgent: moves that follow them help nobody.
+/// Standard deviations above the threshold that do not count as overload when balancing without urgency:
+/// moves that follow random variation bring nothing.
 const BALANCE_DEVIATIONS: f64 = 0.25;
 
-/// Requests that must have been seen before a plan follows them.
-const REQUESTS_SEEN_MIN: f64 = 60.0;
+/// Minimum number of observed requests for a plan to take the load into account.
+const OBSERVED_REQUESTS_MIN: f64 = 60.0;
 
-/// A server that may hold keys.
+/// Server that may be given keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holder {
-    /// Which start of which server.
+    /// Server incarnation: the name and which start of the server it is.
     pub life: Life,
-    /// Work that it can do, relative to the others.
+    /// Processing capacity relative to the other servers.
     pub weight: f64,
 }
 
-/// What is to be done about who holds which keys.
+/// Result of planning: whether and how the key assignment changes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Plan {
-    /// Nothing changes.
+    /// The assignment stays as it is.
     Keep,
-    /// These servers hold them from now on.
+    /// The new assignment, sorted by key.
     Change(Vec<OwnedRange>),
 }
 
-/// Which moves of keys may be planned beside those that are needed because servers came or went.
+/// Moves that may be planned beyond those required because servers joined or left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Moves {
-    /// None.
+    /// No other moves.
     Needed,
-    /// Those that relieve a server which has far too much at this moment.
+    /// Moves that relieve a server whose current load is far above its fair share.
     Urgent,
-    /// Those that balance the load.
+    /// Moves that balance the load.
     Balance,
 }
 
 impl Plan {
-    /// Plans the ranges for the servers that may hold keys.
+    /// Plans the key ranges of the servers that may own keys.
     ///
-    /// The keys of a server that left go to those with most room, a new one takes from the busiest; all others
-    /// keep theirs. A busy range is cut into pieces that go to whoever has room, down to a single key, where that takes enough load off overloaded servers.
+    /// The keys of a server that left go to the servers with the most spare load, and a new server gets
+    /// keys from the busiest ones; all other servers keep theirs. A busy range is split into pieces, down
+    /// to a single key, that go to servers with spare load, if that takes enough load off overloaded
+    /// servers.
     #[must_use]
-    pub fn of(record: &KeyRecord, holders: &[Holder], load: &KeyLoad, moves: Moves) -> Self {
-        if holders.is_empty() {
+    pub fn of(record: &KeyRecord, candidates: &[Holder], load: &KeyLoad, moves: Moves) -> Self {
+        if candidates.is_empty() {
             return Self::Keep;
         }
         if record.spans.is_empty() {
-            return Self::Change(recut(holders, load));
+            return Self::Change(split_key_space(candidates, load));
         }
         let urgent = moves == Moves::Urgent;
-        let members = changes_members(record, holders);
-        if !members && (moves == Moves::Needed || load.total() < REQUESTS_SEEN_MIN) {
+        let membership_changed = has_membership_change(record, candidates);
+        if !membership_changed && (moves == Moves::Needed || load.total() < OBSERVED_REQUESTS_MIN) {
             return Self::Keep;
         }
         let window = if urgent { Window::Short } else { Window::Long };
-        let weights: Vec<f64> = holders.iter().map(|h| h.weight).collect();
-        let (line, unit) = LoadCurve::fair(&weights, load, window);
-        let mut draft = Assignment::new(&record.spans, holders, &line, unit);
-        if !draft.is_held() {
-            return Self::Change(recut(holders, load));
+        let weights: Vec<f64> = candidates.iter().map(|h| h.weight).collect();
+        let (curve, unit_load) = LoadCurve::with_fair_load(&weights, load, window);
+        let mut assignment = Assignment::new(&record.spans, candidates, &curve, unit_load);
+        if !assignment.has_owners() {
+            return Self::Change(split_key_space(candidates, load));
         }
-        if urgent && !members && !draft.loads().any(|(load, fair)| is_far_over(load, fair)) {
+        if urgent
+            && !membership_changed
+            && !assignment
+                .loads()
+                .any(|(load, fair)| is_far_overloaded(load, fair))
+        {
             return Self::Keep;
         }
-        let known = load.total() >= REQUESTS_SEEN_MIN;
-        draft.give_free();
-        draft.admit(known);
-        let chance = if urgent { 0.0 } else { BALANCE_DEVIATIONS };
-        let before = draft.overload(FAIR_SHARE_MARGIN, chance);
-        if known && (moves != Moves::Needed || members) {
-            draft.relieve();
+        let load_known = load.total() >= OBSERVED_REQUESTS_MIN;
+        assignment.assign_unowned();
+        assignment.admit_new(load_known);
+        let deviations = if urgent { 0.0 } else { BALANCE_DEVIATIONS };
+        let before = assignment.overload(FAIR_SHARE_MARGIN, deviations);
+        if load_known && (moves != Moves::Needed || membership_changed) {
+            assignment.relieve_overloaded();
         }
-        let gains = before - draft.overload(FAIR_SHARE_MARGIN, chance) > OVERLOAD_GAIN_MIN;
-        if !members && !gains {
+        let improves =
+            before - assignment.overload(FAIR_SHARE_MARGIN, deviations) > OVERLOAD_GAIN_MIN;
+        if !membership_changed && !improves {
             return Self::Keep;
         }
-        draft.merge();
-        Self::Change(draft.into_spans())
+        assignment.merge_cold();
+        Self::Change(assignment.into_spans())
     }
 }
 
-/// Tells whether servers with keys are no holders any more, or holders have none.
-fn changes_members(record: &KeyRecord, holders: &[Holder]) -> bool {
-    let lives: BTreeSet<&Life> = holders.iter().map(|h| &h.life).collect();
+/// Returns `true` if owners are no longer candidates, candidates own no keys, or keys have no owner.
+fn has_membership_change(record: &KeyRecord, candidates: &[Holder]) -> bool {
+    let lives: BTreeSet<&Life> = candidates.iter().map(|h| &h.life).collect();
     let owners: BTreeSet<&Life> = record.spans.iter().map(|s| &s.owner).collect();
     let keys: u32 = record.spans.iter().map(|s| s.span.len()).sum();
     lives != owners || keys != KeyRange::ALL.len()
 }
 
-/// Tells whether a server has far more than its fair share, beyond what chance makes of so few requests.
-fn is_far_over(load: f64, fair: f64) -> bool {
+/// Returns `true` if a server's load is far above its fair share, beyond the random variation of so few
+/// requests.
+fn is_far_overloaded(load: f64, fair: f64) -> bool {
     load > fair * RELIEF_THRESHOLD + fair.sqrt() * RELIEF_DEVIATIONS
 }
 
-/// Cuts the whole key space into one range for each server, in their order, each as long as its weight and the load
-/// say.
+/// Splits the whole key space into one range for each candidate, in their order, sized by weight and load.
 #[must_use]
-pub fn recut(holders: &[Holder], load: &KeyLoad) -> Vec<OwnedRange> {
-    let weights: Vec<f64> = holders.iter().map(|h| h.weight).collect();
-    let (line, unit) = LoadCurve::fair(&weights, load, Window::Long);
+pub fn split_key_space(candidates: &[Holder], load: &KeyLoad) -> Vec<OwnedRange> {
+    let weights: Vec<f64> = candidates.iter().map(|h| h.weight).collect();
+    let (curve, unit_load) = LoadCurve::with_fair_load(&weights, load, Window::Long);
     let mut rest = KeyRange::ALL;
-    let mut spans = Vec::with_capacity(holders.len());
-    for (i, holder) in holders.iter().enumerate() {
-        let after = (holders.len() - i - 1) as u32;
+    let mut spans = Vec::with_capacity(candidates.len());
+    for (i, candidate) in candidates.iter().enumerate() {
+        let remaining = (candidates.len() - i - 1) as u32;
         let mut span = rest;
-        if after > 0 {
-            let part = line.start_of(rest, holder.weight * unit);
-            // Each of the others gets a key at least.
-            span.last = part.last.min((65_535 - after) as u16);
+        if remaining > 0 {
+            let prefix = curve.prefix_with_load(rest, candidate.weight * unit_load);
+            // Leaves at least one key for each remaining candidate.
+            span.last = prefix.last.min((65_535 - remaining) as u16);
             rest.first = span.last + 1;
         }
-        spans.push(OwnedRange::new(span, holder.life.clone()));
+        spans.push(OwnedRange::new(span, candidate.life.clone()));
     }
     spans
 }
--- a/crates/chicoryrail-ownership/src/keys/range_set.rs
+++ b/crates/chicoryrail-ownership/src/keys/range_set.rs
@@ -1,43 +1,43 @@
-//! Sets of keys.
+//! Sets of key ranges.
 
 use crate::keys::KeyRange;
 
-/// Keys, as spans that do not overlap, sorted where they were made from a sorted list.
+/// Set of keys as ranges that do not overlap; sorted if it was built from sorted ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RangeSet(Vec<KeyRange>);
 
 impl RangeSet {
-    /// Returns the keys of spans that do not overlap.
+    /// Builds the set from ranges that do not overlap.
     pub(crate) const fn new(spans: Vec<KeyRange>) -> Self {
         Self(spans)
     }
 
-    /// Returns the keys of one span.
-    pub(crate) fn of(span: KeyRange) -> Self {
+    /// Builds the set from a single range.
+    pub(crate) fn from_range(span: KeyRange) -> Self {
         Self(vec![span])
     }
 
-    /// Takes keys out.
+    /// Returns the set without the keys of the `cuts`.
     #[must_use]
     pub(crate) fn without(self, cuts: impl IntoIterator<Item = KeyRange>) -> Self {
-        let cut = |left: Vec<KeyRange>, cut: KeyRange| {
-            let left = left.into_iter();
-            left.flat_map(|s| s.without(cut)).collect()
+        let cut = |remaining: Vec<KeyRange>, cut: KeyRange| {
+            let remaining = remaining.into_iter();
+            remaining.flat_map(|s| s.without(cut)).collect()
         };
         Self(cuts.into_iter().fold(self.0, cut))
     }
 
-    /// Returns the first span.
+    /// Returns the first range, or `None` if the set is empty.
     pub(crate) fn first(&self) -> Option<KeyRange> {
         self.0.first().copied()
     }
 
-    /// Returns the first keys that the set has of a span.
-    pub(crate) fn meet(&self, span: KeyRange) -> Option<KeyRange> {
-        self.0.iter().find_map(|s| s.meet(span))
+    /// Returns the first overlap of a range of the set with `span`.
+    pub(crate) fn first_overlap(&self, span: KeyRange) -> Option<KeyRange> {
+        self.0.iter().find_map(|s| s.intersect(span))
     }
 
-    /// Iterates over the spans.
+    /// Iterates over the ranges.
     pub(crate) fn into_spans(self) -> impl Iterator<Item = KeyRange> {
         self.0.into_iter()
     }
--- a/crates/chicoryrail-ownership/src/keys/record.rs
+++ b/crates/chicoryrail-ownership/src/keys/record.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of a service's keys.
+//! Key assignment of a service as kept in the store.
 
 use std::collections::BTreeMap;
 
@@ -8,34 +8,34 @@
 
 use crate::keys::range_set::RangeSet;
 
-/// A range of keys, both ends included.
+/// Range of keys, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// First key.
+    /// First key of the range.
     pub first: u16,
-    /// Last key.
+    /// Last key of the range, included.
     pub last: u16,
 }
 
 impl KeyRange {
-    /// All keys.
+    /// The whole key space.
     pub const ALL: Self = Self {
         first: 0,
         last: u16::MAX,
     };
 
-    /// Returns the keys that both spans have.
+    /// Returns the keys that are in both ranges.
     #[must_use]
-    pub fn meet(self, other: Self) -> Option<Self> {
+    pub fn intersect(self, other: Self) -> Option<Self> {
         let first = self.first.max(other.first);
         let last = self.last.min(other.last);
         (first <= last).then_some(Self { first, last })
     }
 
-    /// Returns the keys that `other` does not have: none, one or two spans.
+    /// Returns the keys that are not in `other`, as zero, one or two ranges.
     #[must_use]
     pub fn without(self, other: Self) -> Vec<Self> {
-        let Some(cut) = self.meet(other) else {
+        let Some(cut) = self.intersect(other) else {
             return vec![self];
         };
         let mut left = Vec::with_capacity(2);
@@ -54,7 +54,7 @@
         left
     }
 
-    /// Tells whether the span has the key.
+    /// Returns `true` if the range contains the key.
     #[must_use]
     pub const fn has(self, key: u16) -> bool {
         self.first <= key && key <= self.last
@@ -66,49 +66,49 @@
         self.last as u32 - self.first as u32 + 1
     }
 
-    /// Tells whether the span has no key, which none has.
+    /// Returns `false`: a range has at least one key.
     #[must_use]
     pub const fn is_empty(self) -> bool {
         false
     }
 }
 
-/// Keys and the server that they are meant for, or that may hold them.
+/// Range of keys with the server that it is assigned to, or that may still hold it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OwnedRange {
-    /// Keys.
+    /// Range of keys.
     pub span: KeyRange,
-    /// Server.
+    /// Server incarnation.
     pub owner: Life,
 }
 
 impl OwnedRange {
-    /// Builds the assignment of a span.
+    /// Builds the assignment of `span` to `owner`.
     #[must_use]
     pub const fn new(span: KeyRange, owner: Life) -> Self {
         Self { span, owner }
     }
 }
 
-/// Value of a service's record; changes only by compare-and-swap, and before a grant under it goes out.
+/// Key assignment of a service. It changes only by compare-and-swap, and before a grant under it is sent.
 ///
-/// One fence covers the whole table: whoever changes it raises the fence above all that were ever
-/// used, so a grant of an older table is refused wherever a grant of this one has arrived.
+/// One fence covers the whole record. Each change raises the fence above all previous ones, so a server
+/// that has accepted a grant of the new record refuses grants of an older one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRecord {
-    /// Fence of the grants.
+    /// Fence (fencing token) of the grants.
     pub fence: u64,
-    /// Who is to hold which keys, sorted; keys of no span have no owner.
+    /// Assigned ranges, sorted by key. Keys in none of them have no owner.
     pub spans: Vec<OwnedRange>,
-    /// Keys that other servers may still hold from before: no grant may overlap them until their
-    /// release was answered, their hold has run out, or their server's life has ended.
+    /// Keys that former owners may still hold. No grant may overlap them until their release is answered,
+    /// the former owner's lease has expired, or its incarnation has ended.
     pub loose: Vec<OwnedRange>,
-    /// Random number of the write, by which a writer whose answer was lost finds its own.
+    /// Random number of the write, by which a writer whose answer was lost recognises its own record.
     pub attempt: u64,
 }
 
 impl KeyRecord {
-    /// Returns the owner of a key.
+    /// Returns the assigned owner of a key.
     #[must_use]
     pub fn owner(&self, key: u16) -> Option<&Life> {
         let at = self.spans.partition_point(|s| s.span.last < key);
@@ -116,15 +116,16 @@
         span.span.has(key).then_some(&span.owner)
     }
 
-    /// Returns the next record, with the given owners: what their predecessors may still hold is loose.
+    /// Returns the next record with the given owners and a fence one higher. Ranges that earlier owners may
+    /// still hold become `loose`.
     #[must_use]
-    pub fn next(&self, spans: Vec<OwnedRange>, still_loose: &[OwnedRange], attempt: u64) -> Self {
-        let kept = by_owner(&spans);
+    pub fn next(&self, spans: Vec<OwnedRange>, former: &[OwnedRange], attempt: u64) -> Self {
+        let kept = ranges_by_owner(&spans);
         let mut loose: Vec<OwnedRange> = Vec::new();
-        for old in still_loose.iter().chain(&self.spans) {
-            // What its holder keeps, or gets back, is not loose.
+        for old in former.iter().chain(&self.spans) {
+            // Keys that an owner keeps or gets back are not loose.
             let kept = kept.get(&old.owner).into_iter().flatten().copied();
-            let left = RangeSet::of(old.span).without(kept);
+            let left = RangeSet::from_range(old.span).without(kept);
             for span in left.into_spans() {
                 let owned = OwnedRange::new(span, old.owner.clone());
                 if !loose.contains(&owned) {
@@ -142,7 +143,7 @@
 }
 
 /// Returns the ranges of each owner.
-pub(crate) fn by_owner(spans: &[OwnedRange]) -> BTreeMap<&Life, Vec<KeyRange>> {
+pub(crate) fn ranges_by_owner(spans: &[OwnedRange]) -> BTreeMap<&Life, Vec<KeyRange>> {
     let mut owners: BTreeMap<&Life, Vec<KeyRange>> = BTreeMap::new();
     for owned in spans {
         owners.entry(&owned.owner).or_default().push(owned.span);
--- a/crates/chicoryrail-ownership/src/keys/server_state.rs
+++ b/crates/chicoryrail-ownership/src/keys/server_state.rs
@@ -1,88 +1,91 @@
-//! What the leader knows of one server.
+//! State that the leader tracks for one server.
 
 use std::net::SocketAddr;
 
 use chicoryrail_core::Millis;
 
 use crate::keys::KeyRange;
-use crate::keys::claim::Live;
+use crate::keys::lease::ConfirmedLease;
 use crate::keys::range_set::RangeSet;
 
-/// What the leader knows of one start of a server.
+/// State that the leader tracks for one server incarnation.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerState {
     pub(crate) addr: SocketAddr,
-    /// Until when the server may hold keys that anybody granted it.
-    pub(crate) held_until: Millis,
-    /// How long the grant lasts that was sent last; an outage may begin or end while it is under way.
-    pub(crate) hold: Millis,
-    /// Until when a grant for the time of an outage may be held. A shorter one that came after it need not
-    /// end it: the longer may take effect later, or the server keeps the later end of the two.
-    pub(crate) long_until: Millis,
-    /// When the server may be called again after a call without an answer.
-    pub(crate) retry: Millis,
-    /// When its registration was last seen.
-    pub(crate) seen: Millis,
-    /// Keys of the grant that is under way; there is one at a time.
-    pub(crate) granting: Option<KeyRange>,
-    /// Keys of the releases that are under way. A grant and a release of the same key are never under way
-    /// together: on different connections one may overtake the other.
-    pub(crate) releasing: Vec<KeyRange>,
-    /// Keys that it is meant to hold.
-    pub(crate) spans: Vec<KeyRange>,
-    /// Keys that it holds.
-    pub(crate) live: Vec<Live>,
-    /// Since when it has not answered a grant.
-    pub(crate) silent: Option<Millis>,
-    /// Whether the server's life is known to have ended.
+    /// End of the longest lease that the server may hold, whichever leader granted it.
+    pub(crate) lease_until: Millis,
+    /// Duration of the last grant sent; an outage of the store may begin or end while the grant is in
+    /// flight.
+    pub(crate) lease_duration: Millis,
+    /// End of the longest lease granted with the duration for an outage. A later, shorter grant does not
+    /// necessarily end it earlier: the longer grant may take effect after it, or the server keeps the later
+    /// of the two ends.
+    pub(crate) outage_lease_until: Millis,
+    /// Earliest time of the next call after one without an answer.
+    pub(crate) retry_at: Millis,
+    /// Time at which the server's registration was last seen.
+    pub(crate) last_seen: Millis,
+    /// Keys of the grant in flight; there is at most one.
+    pub(crate) pending_grant: Option<KeyRange>,
+    /// Keys of the releases in flight. A grant and a release of the same key are never in flight together:
+    /// they use different connections, so one may overtake the other.
+    pub(crate) pending_releases: Vec<KeyRange>,
+    /// Keys that are assigned to the server.
+    pub(crate) assigned: Vec<KeyRange>,
+    /// Keys whose grant the server has confirmed.
+    pub(crate) confirmed: Vec<ConfirmedLease>,
+    /// Time of the first unanswered grant since the server's last answer, if any.
+    pub(crate) unanswered_since: Option<Millis>,
+    /// Whether the incarnation is known to have ended.
     pub(crate) ended: bool,
 }
 
 impl ServerState {
-    /// Builds the state of a server of which nothing is known but where it is.
+    /// Builds the state of a server of which only the address is known.
     pub(crate) const fn new(addr: SocketAddr, now: Millis) -> Self {
         Self {
             addr,
-            held_until: Millis::ZERO,
-            hold: Millis::ZERO,
-            long_until: Millis::ZERO,
-            retry: now,
-            seen: now,
-            granting: None,
-            releasing: Vec::new(),
-            spans: Vec::new(),
-            live: Vec::new(),
-            silent: None,
+            lease_until: Millis::ZERO,
+            lease_duration: Millis::ZERO,
+            outage_lease_until: Millis::ZERO,
+            retry_at: now,
+            last_seen: now,
+            pending_grant: None,
+            pending_releases: Vec::new(),
+            assigned: Vec::new(),
+            confirmed: Vec::new(),
+            unanswered_since: None,
             ended: false,
         }
     }
 
-    /// Tells whether a server may be called, as far as it is known where it is.
-    pub(crate) fn is_there(&self) -> bool {
+    /// Returns `true` if the server can be called: its incarnation has not ended and its address is known.
+    pub(crate) fn is_callable(&self) -> bool {
         !self.ended && self.addr.port() != 0
     }
 
-    /// Returns the keys that it is meant to hold and does not yet.
-    pub(crate) fn not_live(&self) -> RangeSet {
-        let live = self.live.iter().map(|l| l.span);
-        RangeSet::new(self.spans.clone()).without(live)
+    /// Returns the keys that are assigned to the server but not confirmed yet.
+    pub(crate) fn unconfirmed(&self) -> RangeSet {
+        let confirmed = self.confirmed.iter().map(|l| l.span);
+        RangeSet::new(self.assigned.clone()).without(confirmed)
     }
 
-    /// Takes in what it is meant to hold from now on; of what it holds, only that remains.
-    pub(crate) fn meant(&mut self, spans: Vec<KeyRange>) {
-        let kept = self.live.iter().flat_map(|live| {
-            let meet = spans.iter().filter_map(|s| s.meet(live.span));
-            meet.map(|span| Live { span, ..*live })
+    /// Replaces the assigned keys, and drops confirmed keys that are no longer assigned.
+    pub(crate) fn assign(&mut self, spans: Vec<KeyRange>) {
+        let kept = self.confirmed.iter().flat_map(|confirmed| {
+            let overlaps = spans.iter().filter_map(|s| s.intersect(confirmed.span));
+            overlaps.map(|span| ConfirmedLease { span, ..*confirmed })
         });
-        self.live = kept.collect();
-        self.spans = spans;
+        self.confirmed = kept.collect();
+        self.assigned = spans;
     }
 
-    /// Notes that it holds keys that were granted, as far as it is meant to.
-    pub(crate) fn holds(&mut self, due: Millis, span: KeyRange) {
-        let covered = |l: &Live| l.span.without(span).is_empty();
-        self.live.retain(|l| !covered(l));
-        let meant = self.spans.iter().filter_map(|s| s.meet(span));
-        self.live.extend(meant.map(|span| Live { span, due }));
+    /// Records a confirmed grant of those keys in `span` that are assigned to the server.
+    pub(crate) fn confirm(&mut self, renew_at: Millis, span: KeyRange) {
+        let replaced = |l: &ConfirmedLease| l.span.without(span).is_empty();
+        self.confirmed.retain(|l| !replaced(l));
+        let assigned = self.assigned.iter().filter_map(|s| s.intersect(span));
+        self.confirmed
+            .extend(assigned.map(|span| ConfirmedLease { span, renew_at }));
     }
 }
--- a/crates/chicoryrail-ownership/src/keys/timing.rs
+++ b/crates/chicoryrail-ownership/src/keys/timing.rs
@@ -1,35 +1,37 @@
-//! Lengths of time in the leases of keys.
+//! Durations and timeouts of key leases.
 
 use chicoryrail_core::Millis;
 
-/// Lengths of time in the leases of keys.
+/// Durations and timeouts of key leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyTiming {
-    /// How long a grant lasts from its arrival at the server.
+    /// Duration of a grant, from its arrival at the server.
     ///
-    /// A server lost without notice leaves its keys unserved for the rest of it; a lost leader must be
-    /// replaced within it.
+    /// The keys of a server lost without notice stay unserved until the end of its lease. A lost leader
+    /// must be replaced within that time.
     pub hold: Millis,
-    /// The same while every host says that the store is away: nobody can replace a leader that is lost then,
-    /// and the keys are served as long as the grants last.
+    /// Duration of a grant while every host reports the store as unavailable. A leader lost then can't be
+    /// replaced, so the keys are served only as long as the grants last.
     pub outage_hold: Millis,
-    /// Time between two renewals at one server.
+    /// Interval between renewals at one server.
     pub renew: Millis,
-    /// Longest wait for the answer to a grant.
+    /// Timeout of a grant call.
     pub grant_limit: Millis,
-    /// Longest wait for the answer to a release, which comes when the work on the keys has ended.
+    /// Timeout of a release call, which is answered when the work on the keys has ended.
     pub release_limit: Millis,
-    /// Time between two probes of a lost server. Keys given to one that still does not answer are unserved
-    /// until they are taken away again, so it must answer before it gets any.
+    /// Interval between probes of a lost server. Keys granted to a server that still does not answer are
+    /// unserved until they are reassigned, so a server must answer a probe before it receives any.
     pub probe: Millis,
-    /// Time for which an earlier leader may go on renewing after another has taken over.
+    /// Maximum time for which an earlier leader may keep renewing after another one has taken over.
     pub stale_leader: Millis,
 }
 
 impl Default for KeyTiming {
-    /// A hold of 2.5 s outlasts a lost leader: its lease of 1 s, the election and one call to each
-    /// server, about 1.3 s, with room for a slow store. Four renewals fit into it, so one that is lost
-    /// or a freeze of a second leave no gap.
+    /// Returns the default durations.
+    ///
+    /// A lease of 2.5 s outlasts the loss of a leader: the leader's store lease of 1 s, the election and
+    /// one call to each server together take about 1.3 s, and the rest is a margin for a slow store. Four
+    /// renewals fit into it, so a lost renewal or a pause of one second causes no gap.
     fn default() -> Self {
         Self {
             hold: Millis(2_500),
@@ -43,14 +45,15 @@
     }
 }
 
-/// Servers' clocks may run 2 % slow, so a hold may last that much longer than granted.
+/// Drift of a server's clock that is tolerated, in thousandths: clocks may run 2 % slow, so a lease may
+/// last that much longer than granted.
 const CLOCK_DRIFT_PER_MILLE: u64 = 20;
 
 impl KeyTiming {
-    /// Returns the longest time, by this process's clock, for which a grant of `hold` that arrives now is
-    /// held.
+    /// Returns the longest time, by this process's clock, for which a server holds a grant of `lease` that
+    /// arrives now.
     #[must_use]
-    pub const fn longest(hold: Millis) -> Millis {
-        Millis(hold.0 + hold.0 * CLOCK_DRIFT_PER_MILLE / 1_000 + 1)
+    pub const fn max_lease(lease: Millis) -> Millis {
+        Millis(lease.0 + lease.0 * CLOCK_DRIFT_PER_MILLE / 1_000 + 1)
     }
 }
--- a/crates/chicoryrail-ownership/src/peers.rs
+++ b/crates/chicoryrail-ownership/src/peers.rs
@@ -1,4 +1,4 @@
-//! What a host hears from the others.
+//! State of the other core hosts, as received in their heartbeats.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,71 +13,74 @@
 
 use crate::is_strong;
 
-/// Hosts that are assumed where fewer are known: this many share the bounds on repeats and cold servers,
-/// so a host that starts before it knows the others does not take their parts too.
+/// Minimum number of hosts assumed to share global limits, such as those on retries and on requests to
+/// servers that are warming up. It keeps a host that starts before it knows the others from using their
+/// shares.
 const SHARING_HOSTS_MIN: usize = 8;
 
-/// Age of a host's last heartbeat up to which it counts: three of them.
+/// Maximum age of a host's last heartbeat for the host to count as alive: three heartbeats.
 const HEARTBEAT_AGE_MAX: Millis = Millis(1_300);
 
-/// Time for which a host that was heard of by its own heartbeat counts, though the store does not list it yet.
-const UNLISTED_TIME_MAX: Millis = Millis(3_000);
+/// Time for which a host counts by its own heartbeats although the store does not list it yet.
+const UNLISTED_AGE_MAX: Millis = Millis(3_000);
 
-/// Age of a host's last heartbeat up to which what it says of its reach and power counts: one and a half of them.
+/// Maximum age of a heartbeat for the reachable data centres and the power in it to count: one and a half
+/// heartbeats.
 const REACH_AGE_MAX: Millis = Millis(600);
 
-/// How many times as strong another host must be to lead in this one's place: each change of leaders holds changes of
-/// keys up for a moment.
-const SUCCESSOR_POWER_TIMES: u32 = 2;
+/// Factor by which another host's power must exceed this one's for it to lead instead. Each change of
+/// leader delays key changes for a moment.
+const SUCCESSOR_POWER_FACTOR: u32 = 2;
 
-/// Age of a host's last heartbeat up to which it schedules: two and a half of them. A lost host is found silent much
-/// sooner by those that ask it, so this is only for those that nobody asks.
+/// Maximum age of a host's last heartbeat for the host to count as a scheduler: two and a half heartbeats.
+/// Hosts that send slot queries to a lost scheduler detect the loss much sooner, so this limit matters only
+/// for one that receives no queries.
 const SCHEDULER_AGE_MAX: Millis = Millis(1_000);
 
-/// What a host says of itself.
+/// State that a host advertises in its heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct HostState {
-    /// Whether the store answers it.
+    /// Whether the store answers the host.
     pub store: bool,
-    /// Data centres whose servers answer it.
+    /// Data centres whose servers answer the host.
     pub reaches: BTreeSet<DcName>,
-    /// Thousandths of a core that it has to lead with.
+    /// CPU capacity for leading and scheduling, in thousandths of a core.
     pub power: u32,
-    /// Whether it schedules requests for servers; one that stops does not.
+    /// Whether the host schedules requests for servers; a host that is stopping does not.
     pub schedules: bool,
-    /// Its data centre; `None` where it was not heard yet.
+    /// Data centre of the host; `None` until it is received.
     pub dc: Option<DcName>,
-    /// Whether it watches the store itself.
+    /// Whether the host watches the store itself.
     pub watches: bool,
-    /// Leaf hosts that follow it.
+    /// Number of leaf hosts that follow the host.
     pub leaves: u32,
 }
 
-/// The host that schedules the requests for a server.
+/// Host that schedules the requests for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SchedulerHost {
-    /// This one.
+    /// This host.
     Here,
-    /// Another one, at this address.
+    /// Another host, at this address.
     At(SocketAddr),
 }
 
-/// What was heard from a host.
+/// Another core host and the last state received from it.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) addr: SocketAddr,
-    pub(crate) heard: Option<Millis>,
-    pub(crate) said: HostState,
-    /// When it last failed to relay what the store says.
-    pub(crate) failed: Option<Millis>,
+    pub(crate) last_seen: Option<Millis>,
+    pub(crate) state: HostState,
+    /// Time of its last failure to relay the content of the store.
+    pub(crate) relay_failed_at: Option<Millis>,
 }
 
 impl Peer {
-    const fn at(addr: SocketAddr) -> Self {
+    const fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
-            heard: None,
-            said: HostState {
+            last_seen: None,
+            state: HostState {
                 store: false,
                 reaches: BTreeSet::new(),
                 power: 0,
@@ -86,31 +89,32 @@
                 watches: false,
                 leaves: 0,
             },
-            failed: None,
+            relay_failed_at: None,
         }
     }
 
-    /// Tells whether it was heard within `age`.
-    pub(crate) fn is_heard(&self, now: Millis, age: Millis) -> bool {
-        self.heard.is_some_and(|at| now.since(at) <= age)
+    /// Returns `true` if the last heartbeat is at most `age` old.
+    pub(crate) fn seen_within(&self, now: Millis, age: Millis) -> bool {
+        self.last_seen.is_some_and(|at| now.since(at) <= age)
     }
 }
 
-/// The other core hosts: those that the store lists, exchange heartbeats, schedule and may lead.
+/// Other core hosts: those that the store lists, exchange heartbeats, schedule and may lead.
 #[derive(Debug, Default)]
 pub struct Peers {
     pub(crate) hosts: BTreeMap<HostName, Peer>,
-    /// The most hosts known so far, leaf hosts and this one included.
-    most: usize,
-    /// Highest term of leadership heard of, and its leader.
+    /// Highest number of hosts known so far, including leaf hosts and this host.
+    hosts_max: usize,
+    /// Highest term of leadership seen so far; `leader` is the leader of that term, if known.
     term: u64,
     pub(crate) leader: Option<HostName>,
-    /// When the leader was last heard of, by itself.
-    leader_heard: Option<Millis>,
+    /// Time of the last heartbeat that the leader itself sent.
+    leader_seen: Option<Millis>,
 }
 
 impl Peers {
-    /// Takes in the hosts that are registered, without this one.
+    /// Replaces the hosts with those listed in the store, without this one. Unlisted hosts with a heartbeat
+    /// in the last 3 s are kept.
     pub fn set(&mut self, now: Millis, hosts: Vec<(HostName, SocketAddr)>) {
         let old = std::mem::take(&mut self.hosts);
         for (name, addr) in hosts {
@@ -119,69 +123,71 @@
                     addr,
                     ..known.clone()
                 },
-                None => Peer::at(addr),
+                None => Peer::new(addr),
             };
             self.hosts.insert(name, peer);
         }
         let unlisted = old
             .into_iter()
-            .filter(|(_, p)| p.is_heard(now, UNLISTED_TIME_MAX));
+            .filter(|(_, p)| p.seen_within(now, UNLISTED_AGE_MAX));
         for (name, peer) in unlisted {
             self.hosts.entry(name).or_insert(peer);
         }
         self.count(self.hosts.len() + 1);
     }
 
-    /// Takes in that there are so many hosts, leaf hosts included.
+    /// Raises the highest known number of hosts to `hosts`, which includes leaf hosts.
     pub fn count(&mut self, hosts: usize) {
-        self.most = self.most.max(hosts);
+        self.hosts_max = self.hosts_max.max(hosts);
     }
 
-    /// Returns the number of hosts known to be there: core hosts, and the leaf hosts that follow them, of which
-    /// `own` follow this one.
+    /// Returns the number of known hosts: the core hosts and the leaf hosts that follow them, `own` of
+    /// which follow this host.
     #[must_use]
     pub fn all_hosts(&self, now: Millis, own: u32) -> usize {
-        let heard = self
+        let recent = self
             .hosts
             .values()
-            .filter(|p| p.is_heard(now, HEARTBEAT_AGE_MAX));
-        let leaves: u32 = heard.map(|p| p.said.leaves).sum();
+            .filter(|p| p.seen_within(now, HEARTBEAT_AGE_MAX));
+        let leaves: u32 = recent.map(|p| p.state.leaves).sum();
         self.hosts.len() + 1 + (leaves + own) as usize
     }
 
-    /// Returns the number of hosts among which a bound over all of them is shared: the most ever known,
-    /// since one that went silent may still send.
+    /// Returns the number of hosts that share a global limit: the highest number ever known, since a host
+    /// without heartbeats may still send requests.
     #[must_use]
     pub fn sharing(&self) -> usize {
-        self.most.max(SHARING_HOSTS_MIN)
+        self.hosts_max.max(SHARING_HOSTS_MIN)
     }
 
-    /// Returns the number of core hosts, this one included.
+    /// Returns the number of core hosts, including this one.
     #[must_use]
     pub fn schedulers_count(&self) -> usize {
         self.hosts.len() + 1
     }
 
-    /// Returns the addresses of the others.
+    /// Returns the addresses of the other core hosts.
     #[must_use]
     pub fn addrs(&self) -> Vec<SocketAddr> {
         self.hosts.values().map(|p| p.addr).collect()
     }
 
-    /// Returns the address of the leader, where it is another host.
+    /// Returns the address of the leader if it is another host.
     #[must_use]
     pub fn leader_addr(&self) -> Option<SocketAddr> {
         let leader = self.leader.as_ref()?;
         self.hosts.get(leader).map(|p| p.addr)
     }
 
-    /// Draws the host that schedules the requests for what `name` names, where this host is `own`. Where `dc` has
-    /// strong hosts, one of them is drawn: it is lost only with what it schedules for, and reached wherever that is.
+    /// Selects the host that schedules the requests for `name`; `own` is this host. If `dc` has strong
+    /// hosts, one of them is selected: it is lost only together with the servers that it schedules for, and
+    /// it is reachable wherever they are.
     ///
-    /// Load: thousands of requests a second, of which each asks for a server; one host alone would be late for all.
-    /// Drawn by weighted rendezvous, each host has a part by its strength, and a host that comes or goes moves
-    /// only its own part. Hosts agree as far as they hear the same others; where they don't, a server has two
-    /// schedulers for as long, and its own queue takes what is too much.
+    /// There are thousands of requests a second, and each needs a server; a single scheduling host would
+    /// delay all of them. Weighted rendezvous hashing gives each host a share in proportion to its power,
+    /// and a host that joins or leaves moves only its own share. Hosts agree as far as they see the same
+    /// other hosts. While they do not, a server has two schedulers, and its own queue absorbs the excess
+    /// requests.
     #[must_use]
     pub fn scheduler(
         &self,
@@ -190,29 +196,30 @@
         dc: Option<&DcName>,
         name: &impl Hash,
     ) -> SchedulerHost {
-        let (own_name, own_said) = own;
+        let (own_name, own_state) = own;
         let others = self.schedulers(now).map(|(host, p)| {
             let scheduler = SchedulerHost::At(p.addr);
-            (host, &p.said, scheduler)
+            (host, &p.state, scheduler)
         });
-        let own = (own_name, own_said, SchedulerHost::Here);
-        let own = own_said.schedules.then_some(own);
-        let scored = others.chain(own).map(|(host, said, scheduler)| {
-            let near = dc.is_some() && said.dc.as_ref() == dc && is_strong(said.power);
-            ((near, score(host, said.power, name)), scheduler)
+        let own = (own_name, own_state, SchedulerHost::Here);
+        let own = own_state.schedules.then_some(own);
+        let scored = others.chain(own).map(|(host, state, scheduler)| {
+            let near = dc.is_some() && state.dc.as_ref() == dc && is_strong(state.power);
+            ((near, rendezvous_score(host, state.power, name)), scheduler)
         });
-        let most = scored.max_by(|((a_near, a), _), ((b_near, b), _)| {
+        let highest = scored.max_by(|((a_near, a), _), ((b_near, b), _)| {
             a_near.cmp(b_near).then_with(|| a.total_cmp(b))
         });
-        most.map_or(SchedulerHost::Here, |(_, scheduler)| scheduler)
+        highest.map_or(SchedulerHost::Here, |(_, scheduler)| scheduler)
     }
 
-    /// Returns a mark of the hosts that schedule, which changes when one comes, goes or changes its strength.
+    /// Returns a hash of the hosts that schedule, which changes when one joins, leaves or changes its
+    /// power.
     #[must_use]
     pub fn schedulers_mark(&self, now: Millis) -> u64 {
         let mut hasher = SipHasher13::new();
         for (host, peer) in self.schedulers(now) {
-            (host, peer.said.power).hash(&mut hasher);
+            (host, peer.state.power).hash(&mut hasher);
         }
         hasher.finish()
     }
@@ -220,101 +227,104 @@
     /// Iterates over the other hosts that schedule.
     pub(crate) fn schedulers(&self, now: Millis) -> impl Iterator<Item = (&HostName, &Peer)> {
         let hosts = self.hosts.iter();
-        hosts.filter(move |(_, p)| p.said.schedules && p.is_heard(now, SCHEDULER_AGE_MAX))
+        hosts.filter(move |(_, p)| p.state.schedules && p.seen_within(now, SCHEDULER_AGE_MAX))
     }
 
-    /// Takes in that a host did not answer: it counts as not heard until its next heartbeat.
+    /// Records that the host at `addr` did not answer: it counts as lost until its next heartbeat.
     pub fn silent(&mut self, addr: SocketAddr) {
         for peer in self.hosts.values_mut().filter(|p| p.addr == addr) {
-            peer.heard = None;
+            peer.last_seen = None;
         }
     }
 
-    /// Takes in what a host at `addr` says of itself. One that the store does not list yet is heard all the same:
-    /// hosts that start together would else not know each other until the list came round.
-    pub fn heard(&mut self, now: Millis, host: &HostName, addr: SocketAddr, said: HostState) {
+    /// Records the state that a host at `addr` advertises. It counts even if the store does not list the
+    /// host yet; otherwise hosts that start together would not know each other until the list is next read.
+    pub fn heard(&mut self, now: Millis, host: &HostName, addr: SocketAddr, state: HostState) {
         let peer = self.hosts.entry(host.clone());
-        let peer = peer.or_insert_with(|| Peer::at(addr));
+        let peer = peer.or_insert_with(|| Peer::new(addr));
         peer.addr = addr;
-        peer.heard = Some(now);
-        peer.said = said;
+        peer.last_seen = Some(now);
+        peer.state = state;
         self.count(self.hosts.len() + 1);
     }
 
-    /// Tells whether another host, which the store answers, reaches `more` and all of `mine`.
+    /// Returns `true` if another host that the store answers reaches `dc` and all of `own_dcs`.
     #[must_use]
-    pub fn reaches_all(&self, now: Millis, mine: &BTreeSet<DcName>, more: &DcName) -> bool {
+    pub fn any_reaches_all(&self, now: Millis, own_dcs: &BTreeSet<DcName>, dc: &DcName) -> bool {
         let all =
-            |p: &HostState| p.store && p.reaches.contains(more) && p.reaches.is_superset(mine);
-        self.lately(now).any(all)
+            |p: &HostState| p.store && p.reaches.contains(dc) && p.reaches.is_superset(own_dcs);
+        self.recent_states(now).any(all)
     }
 
-    /// Tells whether another host reaches more data centres than `mine`.
+    /// Returns `true` if another host reaches more data centres than there are in `own_dcs`.
     #[must_use]
-    pub fn reach_more(&self, now: Millis, mine: &BTreeSet<DcName>) -> bool {
-        self.lately(now).any(|p| p.reaches.len() > mine.len())
+    pub fn reach_more(&self, now: Millis, own_dcs: &BTreeSet<DcName>) -> bool {
+        self.recent_states(now)
+            .any(|p| p.reaches.len() > own_dcs.len())
     }
 
-    /// Tells whether another host, which the store answers and which reaches all of `mine`, is so much stronger
-    /// than one with `power` that it should lead. One that reaches less would soon make way again.
+    /// Returns `true` if a much stronger host than one with `power` should lead: the store answers it and
+    /// it reaches all of `own_dcs`. A host that reaches fewer data centres would soon have to step down again.
     #[must_use]
-    pub fn stronger(&self, now: Millis, power: u32, mine: &BTreeSet<DcName>) -> bool {
+    pub fn stronger(&self, now: Millis, power: u32, own_dcs: &BTreeSet<DcName>) -> bool {
         let fit = |p: &HostState| {
-            let strong = p.power >= power.saturating_mul(SUCCESSOR_POWER_TIMES);
-            p.store && strong && p.reaches.is_superset(mine)
+            let strong = p.power >= power.saturating_mul(SUCCESSOR_POWER_FACTOR);
+            p.store && strong && p.reaches.is_superset(own_dcs)
         };
-        self.lately(now).any(fit)
+        self.recent_states(now).any(fit)
     }
 
-    /// Iterates over what hosts said of themselves a moment ago.
-    pub(crate) fn lately(&self, now: Millis) -> impl Iterator<Item = &HostState> {
+    /// Iterates over the states of hosts whose last heartbeat is recent enough for their reachable data
+    /// centres to count.
+    pub(crate) fn recent_states(&self, now: Millis) -> impl Iterator<Item = &HostState> {
         let hosts = self.hosts.values();
-        let fresh = hosts.filter(move |p| p.is_heard(now, REACH_AGE_MAX));
-        fresh.map(|p| &p.said)
+        let fresh = hosts.filter(move |p| p.seen_within(now, REACH_AGE_MAX));
+        fresh.map(|p| &p.state)
     }
 
-    /// Tells whether every other host was heard lately and says that the store is away. A host that was not
-    /// heard may have it.
+    /// Returns `true` if every other host has a recent heartbeat that reports the store as unavailable. A
+    /// host without a recent heartbeat may still reach the store.
     #[must_use]
     pub fn all_lost_store(&self, now: Millis) -> bool {
-        let lost = |p: &Peer| !p.said.store && p.is_heard(now, HEARTBEAT_AGE_MAX);
+        let lost = |p: &Peer| !p.state.store && p.seen_within(now, HEARTBEAT_AGE_MAX);
         self.hosts.values().all(lost)
     }
 
-    /// Takes in a heartbeat of the leader itself.
+    /// Records a heartbeat that the leader itself sent.
     pub fn heard_leader(&mut self, now: Millis) {
-        self.leader_heard = self.leader_heard.max(Some(now));
+        self.leader_seen = self.leader_seen.max(Some(now));
     }
 
-    /// Tells whether a leader was heard within `age`.
+    /// Returns `true` if a leader's heartbeat is at most `age` old.
     #[must_use]
     pub fn hears_leader(&self, now: Millis, age: Millis) -> bool {
-        self.leader_heard.is_some_and(|at| now.since(at) <= age)
+        self.leader_seen.is_some_and(|at| now.since(at) <= age)
     }
 
-    /// Returns the time since a leader was heard.
+    /// Returns the age of the last leader's heartbeat.
     #[must_use]
     pub fn leader_age(&self, now: Millis) -> Option<Millis> {
-        self.leader_heard.map(|at| now.since(at))
+        self.leader_seen.map(|at| now.since(at))
     }
 
-    /// Returns the leader, where its name is known.
+    /// Returns the name of the leader, if known.
     #[must_use]
     pub const fn leader(&self) -> Option<&HostName> {
         self.leader.as_ref()
     }
 
-    /// Iterates over the other hosts that were heard lately, with what they said of themselves.
+    /// Iterates over the other hosts with a recent heartbeat: name, address and advertised state.
     pub fn heard_lately(
         &self,
         now: Millis,
     ) -> impl Iterator<Item = (&HostName, SocketAddr, &HostState)> {
         let hosts = self.hosts.iter();
-        let heard = hosts.filter(move |(_, p)| p.is_heard(now, SCHEDULER_AGE_MAX));
-        heard.map(|(name, p)| (name, p.addr, &p.said))
+        let recent = hosts.filter(move |(_, p)| p.seen_within(now, SCHEDULER_AGE_MAX));
+        recent.map(|(name, p)| (name, p.addr, &p.state))
     }
 
-    /// Takes in a term of leadership; tells whether it is the highest so far.
+    /// Records a term of leadership with its leader, if known. Returns `true` if the term is higher than
+    /// any before; ignores lower terms.
     pub fn term(&mut self, term: u64, leader: Option<&HostName>) -> bool {
         if term < self.term {
             return false;
@@ -329,27 +339,29 @@
         new
     }
 
-    /// Returns the highest term of leadership heard of.
+    /// Returns the highest term of leadership seen so far.
     #[must_use]
     pub const fn highest_term(&self) -> u64 {
         self.term
     }
 
-    /// Tells whether more than half of all hosts, this one included, were heard within `age`.
+    /// Returns `true` if more than half of all core hosts, including this one, have a heartbeat at most
+    /// `age` old.
     #[must_use]
     pub fn hears_most(&self, now: Millis, age: Millis) -> bool {
-        let heard = self.hosts.values().filter(|p| p.is_heard(now, age));
-        let heard = heard.count() + 1;
-        heard * 2 > self.hosts.len() + 1
+        let recent = self.hosts.values().filter(|p| p.seen_within(now, age));
+        let recent = recent.count() + 1;
+        recent * 2 > self.hosts.len() + 1
     }
 }
 
-/// Returns a host's score for a name: the highest of all is drawn with a chance in proportion to its power.
-pub(crate) fn score(host: &HostName, power: u32, name: &impl Hash) -> f64 {
+/// Returns a host's rendezvous score for a name. The probability that a host has the highest score is in
+/// proportion to its power.
+pub(crate) fn rendezvous_score(host: &HostName, power: u32, name: &impl Hash) -> f64 {
     let mut hasher = SipHasher13::new();
     host.hash(&mut hasher);
     name.hash(&mut hasher);
-    // The upper 53 bits as a number above 0 and below 1.
-    let unit = ((hasher.finish() >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
-    -f64::from(power.max(1)) / unit.ln()
+    // Maps the upper 53 bits to a number between 0 and 1, both excluded.
+    let fraction = ((hasher.finish() >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
+    -f64::from(power.max(1)) / fraction.ln()
 }
--- a/crates/chicoryrail-ownership/src/reach.rs
+++ b/crates/chicoryrail-ownership/src/reach.rs
@@ -1,4 +1,4 @@
-//! Which data centres a host reaches.
+//! Data centres that a host can reach.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,49 +8,51 @@
 
 use crate::Peers;
 
-/// Age of a server's last answer up to which its data centre counts as reached. Hosts of a usual size get an
-/// answer from each data centre several times in it.
+/// Maximum age of a server's last answer for its data centre to count as reached. Hosts of a usual size get
+/// an answer from each data centre several times within it.
 const ANSWER_AGE_MAX: Millis = Millis(600);
 
-/// Time for which all servers of a data centre must have been silent to the leader. It is longer than the last
-/// heartbeat of another host may speak of answers from before a loss (600 ms, and 400 ms until its next one), so a
-/// data centre that is gone is not taken for one that only this host can't reach.
+/// Time for which all servers of a data centre must have been silent to the leader. Another host's last
+/// heartbeat may report answers from before a loss (up to 600 ms old, with 400 ms until its next
+/// heartbeat). A longer time avoids mistaking a lost data centre for one that only this host can't reach.
 const SILENCE_MIN: Millis = Millis(1_000);
 
-/// Fewest silent servers that tell something of a data centre; one alone may be ill.
-const SERVERS_JUDGED_MIN: usize = 2;
+/// Minimum number of silent servers from which a data centre counts as silent; a single one may be faulty
+/// itself.
+const SILENT_SERVERS_MIN: usize = 2;
 
-/// When a server of each data centre answered last.
+/// Time of the last answer from each data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Reach {
-    answered: BTreeMap<DcName, Millis>,
+    last_answers: BTreeMap<DcName, Millis>,
 }
 
 impl Reach {
-    /// Takes in that a server answered.
+    /// Records an answer from a server in `dc`.
     pub fn answered(&mut self, now: Millis, dc: &DcName) {
-        match self.answered.get_mut(dc) {
+        match self.last_answers.get_mut(dc) {
             Some(last) => *last = now,
             None => {
-                self.answered.insert(dc.clone(), now);
+                self.last_answers.insert(dc.clone(), now);
             }
         }
     }
 
-    /// Returns the data centres with an answer lately.
+    /// Returns the data centres that answered within the last 600 ms.
     #[must_use]
     pub fn lately(&self, now: Millis) -> BTreeSet<DcName> {
-        let recent = self.answered.iter();
+        let recent = self.last_answers.iter();
         let recent = recent.filter(|(_, at)| now.since(**at) <= ANSWER_AGE_MAX);
         recent.map(|(dc, _)| dc.clone()).collect()
     }
 
-    /// Returns a data centre that this leader can't reach and another host can, beside all that this one
-    /// reaches: that host should lead.
+    /// Returns a data centre that this leader can't reach but another host can, if that host also reaches
+    /// all others that this one reaches. That host should lead.
     ///
-    /// `servers` are those with keys, each with its data centre and how long it has been silent. Packets may
-    /// pass one way only between two data centres. A leader in one of them takes the other's servers for lost
-    /// and gives their keys away, although callers elsewhere reach them.
+    /// `servers` are the servers with keys: the data centre of each, and since when it has been silent.
+    /// Packets between two data centres may pass in one direction only. A leader in one of them would
+    /// consider the other's servers lost and reassign their keys, although callers elsewhere can reach
+    /// them.
     #[must_use]
     pub fn out_of_reach<'a>(
         &self,
@@ -58,17 +60,18 @@
         servers: impl Iterator<Item = (&'a DcName, Option<Millis>)>,
         peers: &Peers,
     ) -> Option<DcName> {
-        let mut silent: BTreeMap<&DcName, (usize, bool)> = BTreeMap::new();
+        let mut by_dc: BTreeMap<&DcName, (usize, bool)> = BTreeMap::new();
         for (dc, since) in servers {
-            let (count, all) = silent.entry(dc).or_insert((0, true));
+            let (count, all_silent) = by_dc.entry(dc).or_insert((0, true));
             *count += 1;
-            *all &= since.is_some_and(|at| now.since(at) >= SILENCE_MIN);
+            *all_silent &= since.is_some_and(|at| now.since(at) >= SILENCE_MIN);
         }
-        let mine = self.lately(now);
-        let lost = silent
+        let reached = self.lately(now);
+        let lost = by_dc
             .into_iter()
-            .filter(|(_, (count, all))| *all && *count >= SERVERS_JUDGED_MIN);
-        let mut lost = lost.map(|(dc, _)| dc).filter(|dc| !mine.contains(*dc));
-        lost.find(|dc| peers.reaches_all(now, &mine, dc)).cloned()
+            .filter(|(_, (count, all_silent))| *all_silent && *count >= SILENT_SERVERS_MIN);
+        let mut lost = lost.map(|(dc, _)| dc).filter(|dc| !reached.contains(*dc));
+        lost.find(|dc| peers.any_reaches_all(now, &reached, dc))
+            .cloned()
     }
 }
--- a/crates/chicoryrail-ownership/src/store_key.rs
+++ b/crates/chicoryrail-ownership/src/store_key.rs
@@ -1,22 +1,22 @@
-//! Names of the product's own keys in the store, below its own prefix.
+//! Keys of the router's own entries in the store, relative to its prefix.
 
 use chicoryrail_core::HostName;
 use chicoryrail_core::ServiceName;
 
-/// Start of the keys that each host watches: the leader and the hosts.
+/// Prefix of the entries that every host follows: the leader and the hosts.
 pub const LIVE: &str = "live/";
 
-/// Key of the leader; its value is the leader's name, its revision the term.
+/// Key of the leader entry. Its value is the leader's name, its revision the term.
 pub const LEADER: &str = "live/leader";
 
-/// Start of the keys of hosts; a value is the address of the host's talk with the others.
+/// Prefix of the host entries. A value is the address for messages from other hosts, with the host's power.
 pub const HOSTS: &str = "live/hosts/";
 
-/// Start of the keys of key records. The leader tells the hosts of each change by itself, so they need not
-/// watch them.
+/// Prefix of the key records. They need not be watched, since the leader sends each change to the hosts
+/// directly.
 pub const KEYS: &str = "keys/";
 
-/// Returns the key of a host.
+/// Returns the key of a host's entry.
 #[must_use]
 pub fn host_key(host: &HostName) -> String {
     format!("{HOSTS}{host}")
--- a/crates/chicoryrail-ownership/tests/key_plan.rs
+++ b/crates/chicoryrail-ownership/tests/key_plan.rs
@@ -11,7 +11,7 @@
 use chicoryrail_ownership::keys::Moves;
 use chicoryrail_ownership::keys::OwnedRange;
 use chicoryrail_ownership::keys::Plan;
-use chicoryrail_ownership::keys::recut;
+use chicoryrail_ownership::keys::split_key_space;
 use rand::Rng;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -66,12 +66,12 @@
 /// load.
 #[test]
 fn each_server_gets_its_part_of_the_load() {
-    let even = recut(&holders(12), &KeyLoad::default());
+    let even = split_key_space(&holders(12), &KeyLoad::default());
     assert!(covers_all(&even));
     assert!(even.iter().all(|s| (5_300..5_700).contains(&s.span.len())));
     let load = skewed(1);
     assert!(busiest(&even, &load) > 4.0);
-    let cut = recut(&holders(12), &load);
+    let cut = split_key_space(&holders(12), &load);
     assert!(covers_all(&cut));
     assert!(busiest(&cut, &load) < 1.3, "{}", busiest(&cut, &load));
 }
@@ -82,7 +82,7 @@
     let mut all = holders(4);
     all[1].weight = 0.5;
     let load = skewed(2);
-    let cut = recut(&all, &load);
+    let cut = split_key_space(&all, &load);
     let share = load.of(cut[1].span) / load.total();
     assert!((0.10..0.19).contains(&share), "{share}");
 }
@@ -93,7 +93,7 @@
 fn one_unbearable_key_does_not_hide_the_rest() {
     let mut load = skewed(3);
     (0..900).for_each(|_| load.seen(9_000));
-    let before = record(recut(&holders(12), &KeyLoad::default()));
+    let before = record(split_key_space(&holders(12), &KeyLoad::default()));
     let Plan::Change(cut) = Plan::of(&before, &holders(12), &load, Moves::Balance) else {
         panic!("kept");
     };
@@ -111,7 +111,7 @@
 #[test]
 fn the_spans_of_lost_servers_are_dealt_to_all() {
     let load = skewed(4);
-    let before = record(recut(&holders(12), &load));
+    let before = record(split_key_space(&holders(12), &load));
     let left: Vec<_> = holders(12)
         .into_iter()
         .filter(|h| !h.life.name.as_str().ends_with("10"))
@@ -130,7 +130,7 @@
 /// The load is as even as chance allows: nothing moves, however often it is looked at.
 #[test]
 fn an_even_load_moves_nothing() {
-    let before = record(recut(&holders(12), &skewed(5)));
+    let before = record(split_key_space(&holders(12), &skewed(5)));
     for seed in 5..25 {
         let plan = Plan::of(&before, &holders(12), &skewed(seed), Moves::Balance);
         assert_eq!(plan, Plan::Keep, "seed {seed}");
@@ -140,7 +140,7 @@
 /// A server joins while nothing is known of the load: it gets half of one span, and nobody else moves.
 #[test]
 fn a_newcomer_takes_from_one_server_only() {
-    let before = record(recut(&holders(4), &KeyLoad::default()));
+    let before = record(split_key_space(&holders(4), &KeyLoad::default()));
     let Plan::Change(spans) = Plan::of(&before, &holders(5), &KeyLoad::default(), Moves::Needed)
     else {
         panic!("kept");
@@ -161,7 +161,7 @@
 fn moved(before: &[OwnedRange], after: &[OwnedRange]) -> u32 {
     let same = |new: &OwnedRange| {
         let old = before.iter().filter(|old| old.owner == new.owner);
-        let kept = old.filter_map(|old| old.span.meet(new.span));
+        let kept = old.filter_map(|old| old.span.intersect(new.span));
         kept.map(KeyRange::len).sum::<u32>()
     };
     KeyRange::ALL.len() - after.iter().map(same).sum::<u32>()
@@ -176,7 +176,7 @@
 #[case::servers_come(88, 0, 0.25)]
 fn in_a_long_line_little_moves(#[case] servers: usize, #[case] busy: u32, #[case] most: f64) {
     let mut load = even(6);
-    let before = recut(&holders(80), &load);
+    let before = split_key_space(&holders(80), &load);
     let middle = before[40].span;
     for i in 0..busy {
         load.seen(middle.first + (i % middle.len()) as u16);
