--- a/crates/chicoryrail-ownership/src/lib.rs
+++ b/crates/chicoryrail-ownership/src/lib.rs
@@ -1,7 +1,7 @@
-//! Pure state machines: who holds which keys, and what the hosts know of each other.
+//! Pure state machines for key ownership and for what the hosts know of each other.
 //!
-//! Time and the answers of others come in as arguments; what has to be done goes out as values. There is
-//! no socket, no task and no clock here, so that tests can run every interleaving.
+//! Time and the replies of other processes are arguments; the actions to perform are return values. There
+//! are no sockets, tasks or clocks, so tests can run every interleaving.
 //!
 //! # Example
 //!
@@ -12,8 +12,8 @@
 //! assert_eq!(KeyRange::ALL.without(low), [KeyRange { first: 100, last: 65_535 }]);
 //! ```
 //!
-//! Go on with [`keys::KeyLeases`] for what a leader does about keys, [`keys::KeyRecord`] for what the store
-//! keeps of them, and [`Peers`] for the other hosts.
+//! See [`keys::KeyLeases`] for how a leader manages keys, [`keys::KeyRecord`] for what is kept in the
+//! store, and [`Peers`] for the state of the other hosts.
 
 mod core_host;
 pub mod keys;
--- a/crates/chicoryrail-ownership/tests/key_leases.rs
+++ b/crates/chicoryrail-ownership/tests/key_leases.rs
@@ -1,4 +1,4 @@
-//! The order in which a leader renews, releases and grants.
+//! Order of renewals, releases and grants.
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
@@ -20,8 +20,8 @@
     KeyRange { first, last }
 }
 
-/// Returns a leases in which `a` holds all keys and half of them are about to go to `b`.
-fn half_to_b() -> KeyLeases {
+/// Returns leases in which `a` holds all keys and half of them are assigned to `b` but not released yet.
+fn moving_half_to_b() -> KeyLeases {
     let mut leases = KeyLeases::take_over(
         KeyRecord::default(),
         KeyTiming::default(),
@@ -35,7 +35,7 @@
     }
     leases.change(vec![OwnedRange::new(KeyRange::ALL, life("a"))], 2);
     leases.committed(Millis(0));
-    held(&mut leases, Millis(1), "a", KeyRange::ALL);
+    confirm_grant(&mut leases, Millis(1), "a", KeyRange::ALL);
     let spans = vec![
         OwnedRange::new(span(0, 29_999), life("a")),
         OwnedRange::new(span(30_000, 65_535), life("b")),
@@ -45,33 +45,33 @@
     leases
 }
 
-fn held(leases: &mut KeyLeases, now: Millis, name: &str, span: KeyRange) {
+fn confirm_grant(leases: &mut KeyLeases, now: Millis, name: &str, span: KeyRange) {
     let fence = leases.record().fence;
     leases.granting(now, &life(name), span);
     leases.granted(now, &life(name), span, fence, GrantEnd::Held);
 }
 
-fn grants(duties: &[KeyAction], name: &str) -> Vec<KeyRange> {
+fn grants(actions: &[KeyAction], name: &str) -> Vec<KeyRange> {
     let of = |d: &KeyAction| match d {
         KeyAction::Grant { life: l, span, .. } if *l == life(name) => Some(*span),
         _ => None,
     };
-    duties.iter().filter_map(of).collect()
+    actions.iter().filter_map(of).collect()
 }
 
-fn releases(duties: &[KeyAction]) -> Vec<KeyRange> {
+fn releases(actions: &[KeyAction]) -> Vec<KeyRange> {
     let of = |d: &KeyAction| match d {
         KeyAction::Release { span, .. } => Some(*span),
         _ => None,
     };
-    duties.iter().filter_map(of).collect()
+    actions.iter().filter_map(of).collect()
 }
 
-/// What is to move is released, what its holder keeps goes on being held; only when the release was answered does the
-/// other server get its part, with the token.
+/// Guards against a grant before the former owner's release is answered. The owner keeps the rest of its
+/// keys, and the new owner's grant carries the handover token.
 #[test]
 fn a_move_releases_then_grants() {
-    let mut leases = half_to_b();
+    let mut leases = moving_half_to_b();
     let first = leases.due(Millis(10));
     assert_eq!(releases(&first), [span(30_000, 65_535)]);
     assert!(grants(&first, "b").is_empty());
@@ -83,7 +83,7 @@
     leases.released(Millis(30), &life("a"), span(30_000, 65_535), free);
     let third = leases.due(Millis(30));
     assert_eq!(grants(&third, "b"), [span(30_000, 65_535)]);
-    let token = third.iter().any(|d| {
+    let has_handover = third.iter().any(|d| {
         matches!(
             d,
             KeyAction::Grant {
@@ -92,27 +92,27 @@
             }
         )
     });
-    assert!(token);
+    assert!(has_handover);
 }
 
-/// A release has no answer yet, since long work is running on the keys. What the server keeps must not run out
-/// meanwhile: it is renewed in its time beside the release.
+/// A release has no answer yet because work is running on its keys. Guards against the lease of the
+/// server's other keys expiring meanwhile: they are renewed on time.
 #[test]
 fn a_release_under_way_does_not_delay_renewals() {
-    let mut leases = half_to_b();
+    let mut leases = moving_half_to_b();
     assert_eq!(releases(&leases.due(Millis(10))).len(), 1);
     leases.releasing(&life("a"), span(30_000, 65_535));
     assert!(grants(&leases.due(Millis(500)), "a").is_empty());
     assert_eq!(grants(&leases.due(Millis(610)), "a"), [span(0, 29_999)]);
-    held(&mut leases, Millis(620), "a", span(0, 29_999));
+    confirm_grant(&mut leases, Millis(620), "a", span(0, 29_999));
     assert!(releases(&leases.due(Millis(620))).is_empty());
 }
 
-/// A renewal of all that a server holds is under way when half of it is to move. The release waits for the renewal's
-/// end: on a connection of its own it could overtake it, and the server would take the keys back.
+/// A renewal of all keys of a server is in flight when half of them are reassigned. Guards against the
+/// release overtaking it on another connection, after which the server would hold the released keys again.
 #[test]
 fn no_release_overtakes_a_renewal() {
-    let mut leases = half_to_b();
+    let mut leases = moving_half_to_b();
     leases.granting(Millis(10), &life("a"), KeyRange::ALL);
     assert!(releases(&leases.due(Millis(10))).is_empty());
     let fence = leases.record().fence - 1;
@@ -120,11 +120,11 @@
     assert_eq!(releases(&leases.due(Millis(20))).len(), 1);
 }
 
-/// Keys are on their way from `a` to `b` when they are planned to stay with `a` after all. They are not granted to `a`
-/// again before the release is answered: it could arrive after the grant, and take them away.
+/// Keys that are being released by `a` are reassigned to `a`. Guards against a grant before the release is
+/// answered: the release could arrive after the grant and take the keys away.
 #[test]
 fn no_grant_overtakes_a_release() {
-    let mut leases = half_to_b();
+    let mut leases = moving_half_to_b();
     leases.releasing(&life("a"), span(30_000, 65_535));
     leases.change(vec![OwnedRange::new(KeyRange::ALL, life("a"))], 4);
     leases.committed(Millis(20));
@@ -134,34 +134,34 @@
     assert_eq!(grants(&leases.due(Millis(30)), "a"), [span(30_000, 65_535)]);
 }
 
-/// A server holds two ranges far apart. Both are renewed, one call after the other; a part of one moves, and the rest
-/// of it and the other range stay.
+/// A server owns two ranges that are not adjacent, and a part of one is reassigned. Guards against losing
+/// the other range or the rest of the first: both are renewed, one call after the other.
 #[test]
 fn a_server_keeps_its_other_ranges() {
-    let mut leases = half_to_b();
-    let spans = |cut| {
+    let mut leases = moving_half_to_b();
+    let spans = |split| {
         vec![
             OwnedRange::new(span(0, 9_999), life("a")),
             OwnedRange::new(span(10_000, 39_999), life("b")),
-            OwnedRange::new(span(40_000, cut), life("a")),
-            OwnedRange::new(span(cut + 1, 65_535), life("b")),
+            OwnedRange::new(span(40_000, split), life("a")),
+            OwnedRange::new(span(split + 1, 65_535), life("b")),
         ]
     };
     leases.change(spans(49_999), 4);
     leases.committed(Millis(20));
-    // What stays with `a` is held on; what it is to get is still loose with nobody but itself.
-    let named = leases.record().spans.iter().any(|s| s.owner == life("a"));
-    assert!(named);
-    held(&mut leases, Millis(30), "a", span(0, 9_999));
-    held(&mut leases, Millis(31), "a", span(40_000, 49_999));
+    // Keys that stay with `a` remain confirmed; keys that `a` gets back are loose only for `a` itself.
+    let listed = leases.record().spans.iter().any(|s| s.owner == life("a"));
+    assert!(listed);
+    confirm_grant(&mut leases, Millis(30), "a", span(0, 9_999));
+    confirm_grant(&mut leases, Millis(31), "a", span(40_000, 49_999));
     let due = leases.due(Millis(640));
     assert_eq!(grants(&due, "a"), [span(0, 9_999)]);
-    held(&mut leases, Millis(641), "a", span(0, 9_999));
+    confirm_grant(&mut leases, Millis(641), "a", span(0, 9_999));
     assert_eq!(
         grants(&leases.due(Millis(641)), "a"),
         [span(40_000, 49_999)]
     );
-    held(&mut leases, Millis(642), "a", span(40_000, 49_999));
+    confirm_grant(&mut leases, Millis(642), "a", span(40_000, 49_999));
     leases.change(spans(44_999), 5);
     leases.committed(Millis(650));
     let blocked = leases.blocked();
@@ -169,11 +169,11 @@
     assert!(blocked.iter().any(|s| s.has(45_000)));
 }
 
-/// The former holder can't be reached. Its keys go to the other server when its hold has surely run out, and
-/// not before.
+/// The former owner is unreachable. Guards against granting its keys before its lease has certainly
+/// expired, and against never granting them.
 #[test]
-fn an_unreachable_holder_is_waited_out() {
-    let mut leases = half_to_b();
+fn keys_of_an_unreachable_owner_wait_for_its_lease() {
+    let mut leases = moving_half_to_b();
     for now in (30..2_530).step_by(100) {
         leases.releasing(&life("a"), span(30_000, 65_535));
         leases.released(
@@ -190,12 +190,12 @@
     );
 }
 
-/// Keys went from `a` to `b`, and `a` was waited out. All hosts lose power before anything else changes. The record had
-/// been written without `a`'s old keys, so the next leader, which knows nothing but the record, grants them at once
-/// to `b` and does not wait for `a` once more.
+/// Keys moved from `a` to `b`, `a` released them, and then all hosts lose power. Guards against the next
+/// leader, which knows only the record, waiting for `a` again: the record was rewritten without `a`'s
+/// former keys, so the leader grants them to `b` at once.
 #[test]
-fn a_tidy_record_names_nobody_to_wait_for() {
-    let mut leases = half_to_b();
+fn a_cleaned_record_lists_no_former_owners() {
+    let mut leases = moving_half_to_b();
     leases.releasing(&life("a"), span(30_000, 65_535));
     let free = ReleaseEnd::Free(None);
     leases.released(Millis(30), &life("a"), span(30_000, 65_535), free);
--- a/crates/chicoryrail-ownership/tests/key_plan.rs
+++ b/crates/chicoryrail-ownership/tests/key_plan.rs
@@ -1,4 +1,4 @@
-//! Where the key line is cut, under skewed and changing load.
+//! Planning of key ranges under skewed and changing load.
 
 use std::collections::BTreeMap;
 
@@ -17,16 +17,16 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-fn holders(n: usize) -> Vec<Holder> {
-    let holder = |i| Holder {
+fn candidates(n: usize) -> Vec<Holder> {
+    let candidate = |i| Holder {
         life: Life::new(ServerName::new(&format!("s{i:02}")), 1),
         weight: 1.0,
     };
-    (0..n).map(holder).collect()
+    (0..n).map(candidate).collect()
 }
 
-/// Load in which busy keys stand close to one another, as of a few hundred requests.
-fn skewed(seed: u64) -> KeyLoad {
+/// Returns a load of 1,200 requests: half of them concentrated near key 60,000, the others spread evenly.
+fn skewed_load(seed: u64) -> KeyLoad {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut load = KeyLoad::default();
     for _ in 0..600 {
@@ -45,8 +45,8 @@
     }
 }
 
-/// Returns the share of the busiest server, in fair shares.
-fn busiest(spans: &[OwnedRange], load: &KeyLoad) -> f64 {
+/// Returns the load of the busiest server as a multiple of the fair share.
+fn busiest_load(spans: &[OwnedRange], load: &KeyLoad) -> f64 {
     let mut loads: BTreeMap<&Life, f64> = BTreeMap::new();
     for owned in spans {
         *loads.entry(&owned.owner).or_default() += load.of(owned.span);
@@ -62,42 +62,50 @@
     joined && spans[0].span.first == 0 && spans[spans.len() - 1].span.last == u16::MAX
 }
 
-/// Nothing is known of the load: every server gets the same part. With the load known, each gets the same
-/// load.
+/// Without observed load, all servers get ranges of the same length; with observed load, ranges of about
+/// the same load.
 #[test]
-fn each_server_gets_its_part_of_the_load() {
-    let even = split_key_space(&holders(12), &KeyLoad::default());
-    assert!(covers_all(&even));
-    assert!(even.iter().all(|s| (5_300..5_700).contains(&s.span.len())));
-    let load = skewed(1);
-    assert!(busiest(&even, &load) > 4.0);
-    let cut = split_key_space(&holders(12), &load);
-    assert!(covers_all(&cut));
-    assert!(busiest(&cut, &load) < 1.3, "{}", busiest(&cut, &load));
+fn each_server_gets_a_fair_share_of_the_load() {
+    let uniform = split_key_space(&candidates(12), &KeyLoad::default());
+    assert!(covers_all(&uniform));
+    assert!(
+        uniform
+            .iter()
+            .all(|s| (5_300..5_700).contains(&s.span.len()))
+    );
+    let load = skewed_load(1);
+    assert!(busiest_load(&uniform, &load) > 4.0);
+    let planned = split_key_space(&candidates(12), &load);
+    assert!(covers_all(&planned));
+    assert!(
+        busiest_load(&planned, &load) < 1.3,
+        "{}",
+        busiest_load(&planned, &load)
+    );
 }
 
-/// A slow server, which does half the work, gets half the load.
+/// Guards against ignoring the weight: a server with half the capacity gets about half the load.
 #[test]
-fn a_slow_server_gets_less() {
-    let mut all = holders(4);
+fn a_slow_server_gets_less_load() {
+    let mut all = candidates(4);
     all[1].weight = 0.5;
-    let load = skewed(2);
-    let cut = split_key_space(&all, &load);
-    let share = load.of(cut[1].span) / load.total();
+    let load = skewed_load(2);
+    let planned = split_key_space(&all, &load);
+    let share = load.of(planned[1].span) / load.total();
     assert!((0.10..0.19).contains(&share), "{share}");
 }
 
-/// Load: one key gets more than a server can bear, and beside it the line lies badly. The key stays where it
-/// is busy; the others are cut anew all the same.
+/// One key has more load than a server can process, and the other keys are distributed unevenly. Guards
+/// against the overloaded key hiding that imbalance: the other ranges are still rebalanced.
 #[test]
-fn one_unbearable_key_does_not_hide_the_rest() {
-    let mut load = skewed(3);
+fn one_overloaded_key_does_not_hide_other_imbalance() {
+    let mut load = skewed_load(3);
     (0..900).for_each(|_| load.seen(9_000));
-    let before = record(split_key_space(&holders(12), &KeyLoad::default()));
-    let Plan::Change(cut) = Plan::of(&before, &holders(12), &load, Moves::Balance) else {
-        panic!("kept");
+    let before = record(split_key_space(&candidates(12), &KeyLoad::default()));
+    let Plan::Change(planned) = Plan::of(&before, &candidates(12), &load, Moves::Balance) else {
+        panic!("the plan keeps the assignment");
     };
-    let others = cut.iter().filter(|s| !s.span.has(9_000));
+    let others = planned.iter().filter(|s| !s.span.has(9_000));
     let most = others.map(|s| load.of(s.span)).fold(0.0, f64::max);
     assert!(
         most < load.total() / 12.0 * 1.4,
@@ -106,13 +114,13 @@
     );
 }
 
-/// Two of twelve servers leave in the same moment under skewed load. Their neighbours do not get twice their
-/// part until the next round: the line is cut anew at once.
+/// Two of twelve servers leave at once under skewed load. Guards against their neighbours getting twice
+/// their fair share until the next plan: the same plan distributes the keys to all servers.
 #[test]
-fn the_spans_of_lost_servers_are_dealt_to_all() {
-    let load = skewed(4);
-    let before = record(split_key_space(&holders(12), &load));
-    let left: Vec<_> = holders(12)
+fn keys_of_lost_servers_are_distributed_to_all() {
+    let load = skewed_load(4);
+    let before = record(split_key_space(&candidates(12), &load));
+    let left: Vec<_> = candidates(12)
         .into_iter()
         .filter(|h| !h.life.name.as_str().ends_with("10"))
         .collect();
@@ -120,30 +128,35 @@
         .into_iter()
         .filter(|h| !h.life.name.as_str().ends_with("09"))
         .collect();
-    let Plan::Change(cut) = Plan::of(&before, &left, &load, Moves::Needed) else {
-        panic!("kept");
+    let Plan::Change(planned) = Plan::of(&before, &left, &load, Moves::Needed) else {
+        panic!("the plan keeps the assignment");
     };
-    assert!(covers_all(&cut));
-    assert!(busiest(&cut, &load) < 1.45, "{}", busiest(&cut, &load));
+    assert!(covers_all(&planned));
+    assert!(
+        busiest_load(&planned, &load) < 1.45,
+        "{}",
+        busiest_load(&planned, &load)
+    );
 }
 
-/// The load is as even as chance allows: nothing moves, however often it is looked at.
+/// Guards against moves that follow random variation of an even load.
 #[test]
 fn an_even_load_moves_nothing() {
-    let before = record(split_key_space(&holders(12), &skewed(5)));
+    let before = record(split_key_space(&candidates(12), &skewed_load(5)));
     for seed in 5..25 {
-        let plan = Plan::of(&before, &holders(12), &skewed(seed), Moves::Balance);
+        let plan = Plan::of(&before, &candidates(12), &skewed_load(seed), Moves::Balance);
         assert_eq!(plan, Plan::Keep, "seed {seed}");
     }
 }
 
-/// A server joins while nothing is known of the load: it gets half of one span, and nobody else moves.
+/// A server joins without observed load. Guards against needless moves: it gets half of one range, and the
+/// other ranges stay.
 #[test]
-fn a_newcomer_takes_from_one_server_only() {
-    let before = record(split_key_space(&holders(4), &KeyLoad::default()));
-    let Plan::Change(spans) = Plan::of(&before, &holders(5), &KeyLoad::default(), Moves::Needed)
+fn a_new_server_takes_keys_from_one_server_only() {
+    let before = record(split_key_space(&candidates(4), &KeyLoad::default()));
+    let Plan::Change(spans) = Plan::of(&before, &candidates(5), &KeyLoad::default(), Moves::Needed)
     else {
-        panic!("kept");
+        panic!("the plan keeps the assignment");
     };
     assert!(covers_all(&spans));
     let same = spans.iter().filter(|s| before.spans.contains(s)).count();
@@ -157,8 +170,8 @@
     assert_eq!(all, KeyRange::ALL.len());
 }
 
-/// Returns the keys that change hands between two cuts.
-fn moved(before: &[OwnedRange], after: &[OwnedRange]) -> u32 {
+/// Returns the number of keys whose owner differs between two assignments.
+fn moved_keys(before: &[OwnedRange], after: &[OwnedRange]) -> u32 {
     let same = |new: &OwnedRange| {
         let old = before.iter().filter(|old| old.owner == new.owner);
         let kept = old.filter_map(|old| old.span.intersect(new.span));
@@ -167,21 +180,25 @@
     KeyRange::ALL.len() - after.iter().map(same).sum::<u32>()
 }
 
-/// Load: eighty servers, of which one span grows busy beside the others, then a tenth of the servers leaves, or
-/// a tenth more come. Cut anew, most keys would change hands, and the requests for them wait all at the same
-/// time; only what the servers can't bear moves.
+/// In a fleet of eighty servers one range becomes busy, a tenth of the servers leave or a tenth join. A new
+/// split of the whole key space would move most keys and delay their requests all at once; only the load
+/// that servers can't process moves.
 #[rstest]
-#[case::a_busy_span(80, 200, 0.15)]
+#[case::a_busy_range(80, 200, 0.15)]
 #[case::servers_leave(72, 0, 0.25)]
 #[case::servers_come(88, 0, 0.25)]
-fn in_a_long_line_little_moves(#[case] servers: usize, #[case] busy: u32, #[case] most: f64) {
-    let mut load = even(6);
-    let before = split_key_space(&holders(80), &load);
+fn few_keys_move_in_a_large_fleet(
+    #[case] servers: usize,
+    #[case] busy: u32,
+    #[case] max_moved: f64,
+) {
+    let mut load = even_load(6);
+    let before = split_key_space(&candidates(80), &load);
     let middle = before[40].span;
     for i in 0..busy {
         load.seen(middle.first + (i % middle.len()) as u16);
     }
-    let mut all = holders(88);
+    let mut all = candidates(88);
     if servers < 80 {
         all = (0..80)
             .filter(|i| i % 10 != 3)
@@ -189,17 +206,22 @@
             .collect();
     }
     all.truncate(servers);
-    let Plan::Change(cut) = Plan::of(&record(before.clone()), &all, &load, Moves::Balance) else {
-        panic!("kept");
+    let Plan::Change(planned) = Plan::of(&record(before.clone()), &all, &load, Moves::Balance)
+    else {
+        panic!("the plan keeps the assignment");
     };
-    assert!(covers_all(&cut));
-    let share = f64::from(moved(&before, &cut)) / f64::from(KeyRange::ALL.len());
-    assert!(share < most, "{share} of all keys move");
-    assert!(busiest(&cut, &load) < 1.3, "{}", busiest(&cut, &load));
+    assert!(covers_all(&planned));
+    let share = f64::from(moved_keys(&before, &planned)) / f64::from(KeyRange::ALL.len());
+    assert!(share < max_moved, "{share} of all keys move");
+    assert!(
+        busiest_load(&planned, &load) < 1.3,
+        "{}",
+        busiest_load(&planned, &load)
+    );
 }
 
-/// Load that is the same everywhere, but for chance.
-fn even(seed: u64) -> KeyLoad {
+/// Returns a load that is even except for random variation.
+fn even_load(seed: u64) -> KeyLoad {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut load = KeyLoad::default();
     (0..8_000).for_each(|_| load.seen(rng.random()));
--- a/crates/chicoryrail-ownership/tests/key_plan_size.rs
+++ b/crates/chicoryrail-ownership/tests/key_plan_size.rs
@@ -1,4 +1,4 @@
-//! How the keys of a large installation are spread while ranges of keys grow busy.
+//! Key distribution of a large installation while key ranges become busy.
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
@@ -12,56 +12,56 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Time in which a usual server does one request, in seconds.
-const WORK: f64 = 0.2;
+/// Time in which a server of weight 1 processes one request, in seconds.
+const REQUEST_TIME_S: f64 = 0.2;
 
-/// Time between two looks of the leader.
-const LOOK: u64 = 50;
+/// Interval between two plans of the leader, in milliseconds.
+const PLAN_INTERVAL_MS: u64 = 50;
 
-/// A service under load, and a leader that plans for it.
+/// A service under load, with a leader that plans its key ranges.
 struct Service {
-    holders: Vec<Holder>,
+    candidates: Vec<Holder>,
     load: KeyLoad,
     record: KeyRecord,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    /// Part of the requests that go to the busy keys, and these.
+    /// Fraction of the requests that go to the busy keys, and the range of these keys.
     busy: (f64, std::ops::Range<u16>),
-    balanced: Millis,
-    /// Plans so far.
+    changed_at: Millis,
+    /// Number of plans that changed the assignment.
     plans: usize,
     rng: Pcg64,
 }
 
 impl Service {
-    /// Builds a service whose servers do half of what they can.
+    /// Builds a service whose load is half of its servers' capacity.
     fn new(servers: usize, seed: u64) -> Self {
-        let holders = (0..servers).map(|i| Holder {
+        let candidates = (0..servers).map(|i| Holder {
             life: Life {
                 name: format!("s{i:03}").as_str().into(),
                 born: 1,
             },
             weight: 2.0 / [0.7, 0.7, 1.6][i % 3],
         });
-        let holders: Vec<Holder> = holders.collect();
-        let weight: f64 = holders.iter().map(|h| h.weight).sum();
+        let candidates: Vec<Holder> = candidates.collect();
+        let weight: f64 = candidates.iter().map(|h| h.weight).sum();
         Self {
-            holders,
+            candidates,
             load: KeyLoad::default(),
             record: KeyRecord::default(),
-            rate: weight / WORK * 0.5,
+            rate: weight / REQUEST_TIME_S * 0.5,
             busy: (0.0, 0..1),
-            balanced: Millis::ZERO,
+            changed_at: Millis::ZERO,
             plans: 0,
             rng: Pcg64::seed_from_u64(seed),
         }
     }
 
-    /// Lets callers ask from one moment to another.
+    /// Simulates requests and plans between two points in time, in milliseconds.
     fn run(&mut self, from: u64, to: u64) {
-        for at in (from..to).step_by(LOOK as usize) {
+        for at in (from..to).step_by(PLAN_INTERVAL_MS as usize) {
             let now = Millis(at);
-            let requests = self.rate * LOOK as f64 / 1_000.0;
+            let requests = self.rate * PLAN_INTERVAL_MS as f64 / 1_000.0;
             for _ in 0..requests as usize {
                 let key = if self.rng.random_bool(self.busy.0) {
                     self.rng.random_range(self.busy.1.clone())
@@ -71,43 +71,44 @@
                 self.load.seen(key);
             }
             self.load.age(now);
-            let moves = match now.since(self.balanced).0 {
+            let moves = match now.since(self.changed_at).0 {
                 2_500.. => Moves::Balance,
                 400.. => Moves::Urgent,
                 _ => Moves::Needed,
             };
-            if let Plan::Change(spans) = Plan::of(&self.record, &self.holders, &self.load, moves) {
-                self.balanced = now;
+            if let Plan::Change(spans) = Plan::of(&self.record, &self.candidates, &self.load, moves)
+            {
+                self.changed_at = now;
                 self.plans += 1;
                 self.record = self.record.next(spans, &[], 0);
             }
         }
     }
 
-    /// Returns the part of the requests that come to servers beyond what these can do.
+    /// Returns the fraction of the requests that exceed their server's capacity.
     fn unserved(&self) -> f64 {
-        let busy = self.busy.0 * self.rate / self.busy.1.len() as f64;
-        let even = (1.0 - self.busy.0) * self.rate / 65_536.0;
-        let over = self.holders.iter().map(|holder| {
-            let own = self.record.spans.iter();
-            let own = own.filter(|s| s.owner == holder.life).map(|s| s.span);
-            let asked: f64 = own
+        let busy_rate = self.busy.0 * self.rate / self.busy.1.len() as f64;
+        let even_rate = (1.0 - self.busy.0) * self.rate / 65_536.0;
+        let over = self.candidates.iter().map(|candidate| {
+            let owned = self.record.spans.iter();
+            let owned = owned.filter(|s| s.owner == candidate.life).map(|s| s.span);
+            let offered: f64 = owned
                 .map(|s| {
                     let first = s.first.max(self.busy.1.start);
                     let after = (u32::from(s.last) + 1).min(u32::from(self.busy.1.end));
-                    let hot = after.saturating_sub(u32::from(first));
-                    f64::from(s.len()) * even + f64::from(hot) * busy
+                    let hot_keys = after.saturating_sub(u32::from(first));
+                    f64::from(s.len()) * even_rate + f64::from(hot_keys) * busy_rate
                 })
                 .sum();
-            (asked - holder.weight / WORK).max(0.0)
+            (offered - candidate.weight / REQUEST_TIME_S).max(0.0)
         });
         over.sum::<f64>() / self.rate
     }
 }
 
-/// Two fifths of all requests go to 200 keys that lie side by side, from one moment on. Callers of keys that one
-/// server holds beyond what it can do are refused, so the keys are spread over as many servers as it takes, within
-/// two seconds at a small service as at one with hundreds of servers.
+/// Two fifths of all requests suddenly go to 100 to 600 adjacent keys. Guards against overload of the
+/// owning servers, whose callers would be refused: the keys are spread over enough servers within two
+/// seconds, in small and in large installations.
 #[rstest]
 #[case::small(25, 200)]
 #[case::large(239, 200)]
--- a/crates/chicoryrail-ownership/tests/model_keys/calls.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of leaders to servers: late, lost, or applied long after they came.
+//! Calls from leaders to servers that are delayed, lost, or applied long after they arrived.
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
@@ -6,50 +6,54 @@
 use chicoryrail_ownership::keys::ReleaseEnd;
 use rand::Rng;
 
-use crate::server::What;
+use crate::server::CallKind;
 use crate::server::apply;
 use crate::world::World;
-use crate::world::disturbed;
+use crate::world::faults_active;
 
-/// A call on its way.
+/// Call in flight. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) leader: usize,
     pub(crate) life: Life,
-    pub(crate) what: What,
-    pub(crate) arrives: u64,
-    pub(crate) applies: u64,
+    pub(crate) kind: CallKind,
+    pub(crate) arrives_at: u64,
+    pub(crate) applies_at: u64,
     pub(crate) applied: bool,
     pub(crate) refused: bool,
-    /// When the leader learns how it ended; without an answer, when it gives up.
-    pub(crate) ends: u64,
+    /// Time at which the leader learns the outcome; without an answer, the timeout.
+    pub(crate) ends_at: u64,
     pub(crate) answered: bool,
 }
 
 impl World {
-    pub(crate) fn send(&mut self, leader: usize, life: Life, what: What, limit: u64) {
+    pub(crate) fn send(&mut self, leader: usize, life: Life, kind: CallKind, timeout_ms: u64) {
         let reachable = self.servers.iter().any(|s| s.life == life && s.reachable);
-        let arrives = self.now + self.rng.random_range(0..30);
-        // Some calls are taken, carried out seconds later, and never answered.
-        let late = disturbed(self.now) && self.rng.random_bool(0.05);
-        let applies = arrives
-            + if late {
+        let arrives_at = self.now + self.rng.random_range(0..30);
+        // Some calls arrive, are applied seconds later, and are never answered.
+        let delayed = faults_active(self.now) && self.rng.random_bool(0.05);
+        let applies_at = arrives_at
+            + if delayed {
                 self.rng.random_range(0..4_000)
             } else {
                 0
             };
-        let answered = reachable && !late && self.rng.random_bool(0.95);
-        let answer = applies + self.rng.random_range(0..30);
-        let ends = if answered { answer } else { self.now + limit };
+        let answered = reachable && !delayed && self.rng.random_bool(0.95);
+        let answered_at = applies_at + self.rng.random_range(0..30);
+        let ends_at = if answered {
+            answered_at
+        } else {
+            self.now + timeout_ms
+        };
         self.calls.push(Call {
             leader,
             life,
-            what,
-            arrives: if reachable { arrives } else { u64::MAX },
-            applies,
+            kind,
+            arrives_at: if reachable { arrives_at } else { u64::MAX },
+            applies_at,
             applied: false,
             refused: false,
-            ends,
+            ends_at,
             answered,
         });
     }
@@ -58,44 +62,44 @@
         let now = self.now;
         let mut calls = std::mem::take(&mut self.calls);
         for call in &mut calls {
-            if !call.applied && call.arrives <= now && call.applies <= now {
+            if !call.applied && call.arrives_at <= now && call.applies_at <= now {
                 call.applied = true;
                 let server = self
                     .servers
                     .iter_mut()
                     .find(|s| s.life == call.life && s.up);
                 if let Some(server) = server {
-                    call.refused = apply(server, &call.what, call.arrives);
+                    call.refused = apply(server, &call.kind, call.arrives_at);
                 }
             }
         }
-        // A process that stands still hears of it when it goes on.
+        // A paused process learns the outcome when it resumes.
         for call in &mut calls {
-            let frozen = self.leaders[call.leader].frozen;
-            if call.ends <= now && now < frozen {
-                call.ends = frozen;
+            let paused_until = self.leaders[call.leader].paused_until;
+            if call.ends_at <= now && now < paused_until {
+                call.ends_at = paused_until;
             }
         }
-        for call in calls.iter().filter(|c| c.ends <= now) {
-            self.tell(call);
+        for call in calls.iter().filter(|c| c.ends_at <= now) {
+            self.report_outcome(call);
         }
-        calls.retain(|c| c.ends > now || (!c.applied && c.arrives != u64::MAX));
+        calls.retain(|c| c.ends_at > now || (!c.applied && c.arrives_at != u64::MAX));
         calls.iter_mut().for_each(|c| {
-            if c.ends <= now {
-                c.ends = u64::MAX;
+            if c.ends_at <= now {
+                c.ends_at = u64::MAX;
             }
         });
         self.calls = calls;
     }
 
-    /// Tells the leader how a call ended.
-    pub(crate) fn tell(&mut self, call: &Call) {
+    /// Reports the outcome of a call to the leader.
+    pub(crate) fn report_outcome(&mut self, call: &Call) {
         let now = Millis(self.now);
         let up = self.servers.iter().any(|s| s.life == call.life && s.up);
         let answered = call.answered && up;
         let leases = &mut self.leaders[call.leader].leases;
-        match call.what {
-            What::Grant { span, fence, .. } => {
+        match call.kind {
+            CallKind::Grant { span, fence, .. } => {
                 let end = match (answered, call.refused) {
                     (false, _) => GrantEnd::Silent,
                     (true, true) => GrantEnd::FenceOld,
@@ -103,7 +107,7 @@
                 };
                 leases.granted(now, &call.life, span, fence, end);
             }
-            What::Release { span, .. } => {
+            CallKind::Release { span, .. } => {
                 let end = if answered {
                     ReleaseEnd::Free(Some("token".to_owned()))
                 } else {
--- a/crates/chicoryrail-ownership/tests/model_keys/leading.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/leading.rs
@@ -1,4 +1,4 @@
-//! What leaders do in a step.
+//! One step of the simulated leaders.
 
 use chicoryrail_core::Millis;
 use chicoryrail_ownership::keys::Holder;
@@ -8,75 +8,77 @@
 use chicoryrail_ownership::keys::Plan;
 use rand::Rng;
 
-use crate::server::What;
+use crate::server::CallKind;
 use crate::world::World;
-use crate::world::disturbed;
+use crate::world::faults_active;
 
 impl World {
     pub(crate) fn lead(&mut self) {
         let now = Millis(self.now);
         for i in 0..self.leaders.len() {
             let leader = &self.leaders[i];
-            let acts = self.now <= leader.until && self.now >= leader.frozen;
-            if !acts || leader.leases.is_deposed() {
+            let acting = self.now <= leader.acts_until && self.now >= leader.paused_until;
+            if !acting || leader.leases.is_deposed() {
                 continue;
             }
             let registered = self.servers.iter().filter(|s| s.up);
             let registered: Vec<_> = registered.map(|s| (s.life.clone(), s.leaving)).collect();
             let leader = &mut self.leaders[i];
-            leader.leases.store_away(self.away);
-            let named = leader.leases.named();
+            leader.leases.store_away(self.store_down);
+            let owners = leader.leases.named();
             for (life, _) in &registered {
                 leader
                     .leases
                     .server_at(now, life, ([127, 0, 0, 1], 80).into());
-                for old in named.iter().filter(|old| life.succeeds(old)) {
+                for old in owners.iter().filter(|old| life.succeeds(old)) {
                     leader.leases.ended(old);
                 }
             }
             if !leader.leases.is_writing() {
-                let open = registered
+                let accepting = registered
                     .iter()
                     .filter(|(l, leaving)| !*leaving && !leader.leases.is_lost(now, l));
-                let mut holders: Vec<_> = open
+                let mut candidates: Vec<_> = accepting
                     .map(|(life, _)| Holder {
                         life: life.clone(),
                         weight: 1.0,
                     })
                     .collect();
-                holders.sort_by(|a, b| a.life.cmp(&b.life));
-                let calm = !leader.leases.is_changing();
-                let balance = calm && disturbed(self.now) && self.rng.random_bool(0.01);
+                candidates.sort_by(|a, b| a.life.cmp(&b.life));
+                let unchanged = !leader.leases.is_changing();
+                let balance = unchanged && faults_active(self.now) && self.rng.random_bool(0.01);
                 let mut load = KeyLoad::default();
                 if balance {
-                    let hot: u16 = self.rng.random();
-                    (0..200).for_each(|i| load.seen(hot.wrapping_add(i)));
+                    let first_busy: u16 = self.rng.random();
+                    (0..200).for_each(|i| load.seen(first_busy.wrapping_add(i)));
                 }
                 let moves = match (balance, self.rng.random_bool(0.5)) {
                     (true, true) => Moves::Urgent,
                     (true, false) => Moves::Balance,
                     (false, _) => Moves::Needed,
                 };
-                let plan = Plan::of(leader.leases.record(), &holders, &load, moves);
+                let plan = Plan::of(leader.leases.record(), &candidates, &load, moves);
                 if let Plan::Change(spans) = plan {
                     leader.leases.change(spans, self.rng.random());
                 }
             }
-            let duties = leader.leases.due(now);
-            for duty in duties {
-                self.perform(i, duty);
+            let actions = leader.leases.due(now);
+            for action in actions {
+                self.execute(i, action);
             }
         }
     }
 
-    pub(crate) fn perform(&mut self, leader: usize, duty: KeyAction) {
+    pub(crate) fn execute(&mut self, leader: usize, action: KeyAction) {
         let now = Millis(self.now);
-        match duty {
+        match action {
             KeyAction::Commit(record) => {
-                // The store takes it only from the latest leader, and only over what that one has read.
+                // The store accepts a write only from the latest leader, and only if the record has not
+                // changed since that leader read it.
                 let latest = leader + 1 == self.leaders.len();
-                let away = self.away || self.now < self.leaders[leader].turned_away;
-                if !away && latest && self.leaders[leader].revision == self.revision {
+                let store_down =
+                    self.store_down || self.now < self.leaders[leader].store_lost_until;
+                if !store_down && latest && self.leaders[leader].revision == self.revision {
                     self.record = record;
                     self.revision += 1;
                     self.leaders[leader].revision = self.revision;
@@ -87,23 +89,24 @@
                 life, span, fence, ..
             } => {
                 self.leaders[leader].leases.granting(now, &life, span);
-                let limit = self.granted.grant_limit.0;
-                let long = self.leaders[leader].leases.hold() == self.reckoned.outage_hold;
-                let granted = &self.granted;
-                let hold = if long {
-                    granted.outage_hold
+                let timeout_ms = self.actual_timing.grant_limit.0;
+                let outage_grant =
+                    self.leaders[leader].leases.hold() == self.assumed_timing.outage_hold;
+                let timing = &self.actual_timing;
+                let lease = if outage_grant {
+                    timing.outage_hold
                 } else {
-                    granted.hold
+                    timing.hold
                 };
-                let what = What::Grant { span, fence, hold };
-                self.send(leader, life, what, limit);
+                let kind = CallKind::Grant { span, fence, lease };
+                self.send(leader, life, kind, timeout_ms);
             }
             KeyAction::Release {
                 life, span, fence, ..
             } => {
                 self.leaders[leader].leases.releasing(&life, span);
-                let limit = self.granted.release_limit.0;
-                self.send(leader, life, What::Release { span, fence }, limit);
+                let timeout_ms = self.actual_timing.release_limit.0;
+                self.send(leader, life, CallKind::Release { span, fence }, timeout_ms);
             }
         }
     }
--- a/crates/chicoryrail-ownership/tests/model_keys/main.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/main.rs
@@ -1,8 +1,9 @@
-//! Randomised runs of the keeping of keys: leaders that are replaced while they still act, that stand
-//! still and wake, or that the store turns away while it serves others, servers that die, return under their names, leave and come, calls that arrive late, are applied late or lose their answers.
+//! Randomised simulation of key leases: leaders that are replaced while they still act, pause and resume,
+//! or lose the store while it answers others; servers that die, restart under their names, leave and join;
+//! calls that arrive late, are applied late or lose their answers.
 //!
-//! After every step of 10 ms it is checked, from what the servers hold and not from what a leader believes,
-//! that no two of them hold the same key.
+//! After every step of 10 ms, the simulation checks that no two servers hold the same key, based on the
+//! state of the servers and not on what a leader assumes.
 
 mod calls;
 mod leading;
@@ -18,16 +19,17 @@
 use chicoryrail_ownership::keys::KeyRecord;
 use chicoryrail_ownership::keys::KeyTiming;
 use rstest::rstest;
-use server::LOOKS;
-use world::STEP;
+use server::SAMPLE_COUNT;
+use world::STEP_MS;
 use world::World;
 
-fn violations(seeds: std::ops::Range<u64>, reckoned: KeyTiming) -> usize {
-    let runs = seeds.map(|seed| World::new(seed, KeyTiming::default(), reckoned).run());
+fn violations(seeds: std::ops::Range<u64>, assumed_timing: KeyTiming) -> usize {
+    let runs = seeds.map(|seed| World::new(seed, KeyTiming::default(), assumed_timing).run());
     runs.filter(|w| !w.violations.is_empty()).count()
 }
 
-/// Whatever happens to leaders, servers and calls, no two servers hold the same key.
+/// Guards against two servers holding the same key under any sequence of faults of leaders, servers and
+/// calls.
 #[rstest]
 #[case(0)]
 #[case(100)]
@@ -40,42 +42,42 @@
     }
 }
 
-/// Once the disturbances are over, every key is held again, as far as a server can be reached.
+/// Guards against keys that stay without an owner after the faults have ended, while a server is reachable.
 #[test]
-fn every_key_is_served_again_after_the_disturbances() {
+fn every_key_is_served_again_after_the_faults() {
     for seed in 0..40 {
         let world = World::new(seed, KeyTiming::default(), KeyTiming::default()).run();
         let reachable = world
             .servers
             .iter()
             .any(|s| s.up && s.reachable && !s.leaving);
-        let held = (0..LOOKS).filter(|i| {
+        let held = (0..SAMPLE_COUNT).filter(|i| {
             let mut all = world.servers.iter();
             all.any(|s| s.up && s.keys[*i].until > world.now)
         });
-        assert!(!reachable || held.count() == LOOKS, "seed {seed}");
+        assert!(!reachable || held.count() == SAMPLE_COUNT, "seed {seed}");
     }
 }
 
-/// Each safeguard is needed: with a leader that reckons with less than what may happen, some run finds two
-/// holders of one key.
+/// Guards against a simulation that misses real faults: a leader that assumes shorter times than actually
+/// occur lets two servers hold one key in some run.
 #[rstest]
-#[case::hold_shorter_than_granted(KeyTiming { hold: Millis(800), ..KeyTiming::default() })]
-#[case::outage_not_reckoned_with(KeyTiming { outage_hold: Millis(2_500), ..KeyTiming::default() })]
+#[case::lease_shorter_than_granted(KeyTiming { hold: Millis(800), ..KeyTiming::default() })]
+#[case::outage_not_accounted_for(KeyTiming { outage_hold: Millis(2_500), ..KeyTiming::default() })]
 #[case::no_time_for_an_older_leader(KeyTiming { hold: Millis(1_500), stale_leader: Millis(0), ..KeyTiming::default() })]
-fn a_leader_that_reckons_with_less_is_found_out(#[case] reckoned: KeyTiming) {
-    assert!(violations(0..200, reckoned) > 0);
+fn a_leader_that_assumes_shorter_times_is_detected(#[case] assumed_timing: KeyTiming) {
+    assert!(violations(0..200, assumed_timing) > 0);
 }
 
-/// A record that is lost, so that a leader begins anew under fences that were used, is found out as well:
-/// the check sees more than one holder.
+/// Guards against a check that misses a lost record: the new leader starts again with fences that were
+/// already used, so two servers hold one key.
 #[test]
-fn a_lost_record_is_found_out() {
+fn a_lost_record_is_detected() {
     let found = (0..20).any(|seed| {
         let mut world = World::new(seed, KeyTiming::default(), KeyTiming::default());
         world.elect();
         for _ in 0..300 {
-            world.now += STEP;
+            world.now += STEP_MS;
             world.deliver();
             world.lead();
         }
@@ -83,7 +85,7 @@
         world.join("late");
         world.elect();
         for _ in 0..300 {
-            world.now += STEP;
+            world.now += STEP_MS;
             world.deliver();
             world.lead();
             world.check();
@@ -93,9 +95,9 @@
     assert!(found);
 }
 
-/// The record names one owner a key, and what a change leaves behind is loose.
+/// Guards against losing track of former owners: their keys become loose when the assignment changes.
 #[test]
-fn a_change_leaves_the_old_holders_loose() {
+fn a_change_lists_former_owners_as_loose() {
     let life = |n: &str| Life::new(ServerName::new(n), 1);
     let span = |first, last| KeyRange { first, last };
     let owned = |s, n| chicoryrail_ownership::keys::OwnedRange::new(s, life(n));
--- a/crates/chicoryrail-ownership/tests/model_keys/server.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/server.rs
@@ -1,15 +1,15 @@
-//! A server that checks fences.
+//! Simulated server that checks fencing tokens.
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
 use chicoryrail_ownership::keys::KeyRange;
 
-/// Keys that are looked at; one in each of so many equal parts.
-pub(crate) const LOOKS: usize = 64;
+/// Number of sampled keys, evenly spaced over the key space.
+pub(crate) const SAMPLE_COUNT: usize = 64;
 
-/// A server's memory of one key.
+/// A server's state of one key.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Held {
+pub(crate) struct KeyState {
     pub(crate) fence: u64,
     pub(crate) until: u64,
 }
@@ -19,17 +19,17 @@
     pub(crate) life: Life,
     pub(crate) up: bool,
     pub(crate) leaving: bool,
-    /// Whether leaders can reach it.
+    /// Whether leaders can reach the server.
     pub(crate) reachable: bool,
-    pub(crate) keys: Vec<Held>,
+    pub(crate) keys: Vec<KeyState>,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum What {
+pub(crate) enum CallKind {
     Grant {
         span: KeyRange,
         fence: u64,
-        hold: Millis,
+        lease: Millis,
     },
     Release {
         span: KeyRange,
@@ -37,31 +37,31 @@
     },
 }
 
-/// Returns the key of a part.
-pub(crate) fn look(i: usize) -> u16 {
-    (i * 65_536 / LOOKS) as u16
+/// Returns the key with sample index `i`.
+pub(crate) fn sampled_key(i: usize) -> u16 {
+    (i * 65_536 / SAMPLE_COUNT) as u16
 }
 
-/// Carries a call out at a server; tells whether it was refused.
-pub(crate) fn apply(server: &mut Server, what: &What, arrived: u64) -> bool {
-    let (span, fence) = match what {
-        What::Grant { span, fence, .. } | What::Release { span, fence } => (*span, *fence),
+/// Applies a call at a server; returns `true` if the server refuses it.
+pub(crate) fn apply(server: &mut Server, kind: &CallKind, arrived_at: u64) -> bool {
+    let (span, fence) = match kind {
+        CallKind::Grant { span, fence, .. } | CallKind::Release { span, fence } => (*span, *fence),
     };
-    let of_span = |i: &usize| span.has(look(*i));
-    let looks: Vec<_> = (0..LOOKS).filter(of_span).collect();
-    let What::Grant { hold, .. } = what else {
-        // A release is never refused, and its fence holds against grants that are older.
-        for i in looks {
+    let in_span = |i: &usize| span.has(sampled_key(*i));
+    let samples: Vec<_> = (0..SAMPLE_COUNT).filter(in_span).collect();
+    let CallKind::Grant { lease, .. } = kind else {
+        // A release is never refused, and its fence blocks older grants.
+        for i in samples {
             server.keys[i].until = 0;
             server.keys[i].fence = server.keys[i].fence.max(fence);
         }
         return false;
     };
-    let until = arrived + hold.0 * 102 / 100;
-    if looks.iter().any(|i| server.keys[*i].fence > fence) {
+    let until = arrived_at + lease.0 * 102 / 100;
+    if samples.iter().any(|i| server.keys[*i].fence > fence) {
         return true;
     }
-    for i in looks {
+    for i in samples {
         server.keys[i].fence = fence;
         server.keys[i].until = until;
     }
--- a/crates/chicoryrail-ownership/tests/model_keys/world.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/world.rs
@@ -1,4 +1,4 @@
-//! Servers, leaders and the calls between them, step by step.
+//! Simulation of servers, leaders and the calls between them. Times are in milliseconds.
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
@@ -11,66 +11,66 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::calls::Call;
-use crate::server::Held;
-use crate::server::LOOKS;
+use crate::server::KeyState;
+use crate::server::SAMPLE_COUNT;
 use crate::server::Server;
-use crate::server::look;
+use crate::server::sampled_key;
 
-pub(crate) const STEP: u64 = 10;
-pub(crate) const LENGTH: u64 = 70_000;
+pub(crate) const STEP_MS: u64 = 10;
+pub(crate) const RUN_MS: u64 = 70_000;
 
 pub(crate) struct Leader {
     pub(crate) leases: KeyLeases,
-    /// Until when it acts; it has been replaced by then, or is the latest.
-    pub(crate) until: u64,
+    /// Time at which it stops acting because it has been replaced; the maximum for the latest leader.
+    pub(crate) acts_until: u64,
     pub(crate) revision: u64,
-    /// Until when its process stands still: it neither acts nor hears how its calls ended.
-    pub(crate) frozen: u64,
-    /// Until when the store turns it away, while it serves others.
-    pub(crate) turned_away: u64,
+    /// Time until which its process is paused: it neither acts nor learns the outcome of its calls.
+    pub(crate) paused_until: u64,
+    /// Time until which the store does not answer it, although it answers others.
+    pub(crate) store_lost_until: u64,
 }
 
 pub(crate) struct World {
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: u64,
-    /// What the servers are told, and what leaders reckon with.
-    pub(crate) granted: KeyTiming,
-    pub(crate) reckoned: KeyTiming,
+    /// Actual timing of grants and calls, and the timing that the leaders assume.
+    pub(crate) actual_timing: KeyTiming,
+    pub(crate) assumed_timing: KeyTiming,
     pub(crate) servers: Vec<Server>,
     pub(crate) leaders: Vec<Leader>,
     pub(crate) calls: Vec<Call>,
     pub(crate) record: KeyRecord,
     pub(crate) revision: u64,
     pub(crate) violations: Vec<String>,
-    /// Whether the store is away: no election, no write; every leader knows.
-    pub(crate) away: bool,
-    /// Until when a leader must reckon with grants for the time of an outage.
-    pub(crate) away_until: u64,
-    /// Number of the last birth.
-    pub(crate) born: u64,
+    /// Whether the store is down: no election and no write. Every leader knows it.
+    pub(crate) store_down: bool,
+    /// Time until which a new leader must assume grants with the duration for an outage.
+    pub(crate) outage_until: u64,
+    /// Incarnation number of the server that joined last.
+    pub(crate) last_incarnation: u64,
 }
 
-/// Tells whether things go wrong at this time: not at first, and not towards the end.
-pub(crate) fn disturbed(now: u64) -> bool {
-    now > 2_000 && now < LENGTH - 25_000
+/// Returns `true` while faults are injected: not at the start of the run and not towards its end.
+pub(crate) fn faults_active(now: u64) -> bool {
+    now > 2_000 && now < RUN_MS - 25_000
 }
 
 impl World {
-    pub(crate) fn new(seed: u64, granted: KeyTiming, reckoned: KeyTiming) -> Self {
+    pub(crate) fn new(seed: u64, actual_timing: KeyTiming, assumed_timing: KeyTiming) -> Self {
         let mut world = Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
-            granted,
-            reckoned,
+            actual_timing,
+            assumed_timing,
             servers: Vec::new(),
             leaders: Vec::new(),
             calls: Vec::new(),
             record: KeyRecord::default(),
             revision: 1,
             violations: Vec::new(),
-            away: false,
-            away_until: 0,
-            born: 0,
+            store_down: false,
+            outage_until: 0,
+            last_incarnation: 0,
         };
         for i in 0..4 {
             world.join(&format!("s{i}"));
@@ -79,42 +79,49 @@
     }
 
     pub(crate) fn join(&mut self, name: &str) {
-        self.born += 1;
+        self.last_incarnation += 1;
         self.servers.push(Server {
-            life: Life::new(ServerName::new(name), self.born),
+            life: Life::new(ServerName::new(name), self.last_incarnation),
             up: true,
             leaving: false,
             reachable: true,
-            keys: vec![Held::default(); LOOKS],
+            keys: vec![KeyState::default(); SAMPLE_COUNT],
         });
     }
 
-    /// Replaces the leader. The old one goes on for as long as one may that has not heard of it.
+    /// Elects a new leader. The previous one keeps acting for as long as a leader may that has not noticed
+    /// it.
     pub(crate) fn elect(&mut self) {
         if let Some(old) = self.leaders.last_mut() {
-            let stale = self.rng.random_range(0..=self.granted.stale_leader.0);
-            old.until = self.now + stale;
+            let overlap = self.rng.random_range(0..=self.actual_timing.stale_leader.0);
+            old.acts_until = self.now + overlap;
         }
         let attempt = self.rng.random();
         let now = Millis(self.now);
-        let away = self.now < self.away_until;
-        let leases = KeyLeases::take_over(self.record.clone(), self.reckoned, now, attempt, away);
+        let store_down = self.now < self.outage_until;
+        let leases = KeyLeases::take_over(
+            self.record.clone(),
+            self.assumed_timing,
+            now,
+            attempt,
+            store_down,
+        );
         self.leaders.push(Leader {
             leases,
-            until: u64::MAX,
+            acts_until: u64::MAX,
             revision: self.revision,
-            frozen: 0,
-            turned_away: 0,
+            paused_until: 0,
+            store_lost_until: 0,
         });
     }
 
-    pub(crate) fn disturb(&mut self) {
+    pub(crate) fn inject_fault(&mut self) {
         let n = self.servers.len();
         let at = self.rng.random_range(0..n);
         match self.rng.random_range(0..1_000) {
-            0..4 if !self.away => self.elect(),
+            0..4 if !self.store_down => self.elect(),
             4..8 => self.servers[at].up = false,
-            // Reborn under its name; what it held is gone.
+            // Restarts the server under its name; it has lost the keys that it held.
             8..14 if !self.servers[at].up => {
                 let name = self.servers[at].life.name.clone();
                 self.servers.remove(at);
@@ -122,67 +129,70 @@
             }
             14..18 => self.servers[at].leaving = true,
             18..24 if n < 7 => {
-                let name = format!("n{}", self.born);
+                let name = format!("n{}", self.last_incarnation);
                 self.join(&name);
             }
             24..30 => self.servers[at].reachable = false,
             30..40 => self.servers[at].reachable = true,
-            40..42 => self.away = true,
-            42..50 => self.away = false,
-            50..56 => self.freeze(),
+            40..42 => self.store_down = true,
+            42..50 => self.store_down = false,
+            50..56 => self.pause_leader(),
             56..60 => {
                 let until = self.now + self.rng.random_range(500..6_000);
                 if let Some(leader) = self.leaders.last_mut() {
-                    leader.turned_away = until;
+                    leader.store_lost_until = until;
                 }
             }
             _ => {}
         }
-        // Keep enough servers at work.
+        // Keep at least two servers available.
         if self.servers.iter().filter(|s| s.up && !s.leaving).count() < 2 {
-            let name = format!("n{}", self.born);
+            let name = format!("n{}", self.last_incarnation);
             self.join(&name);
         }
     }
 
-    /// Stops the leader's process for a while. One that stands still for longer than its lease is replaced
-    /// meanwhile, and goes on when it wakes until it notices.
-    pub(crate) fn freeze(&mut self) {
-        let length = self.rng.random_range(100..5_000);
-        let until = self.now + length;
+    /// Pauses the latest leader's process. If the pause exceeds its store lease, it is replaced meanwhile
+    /// and keeps acting after it resumes until it notices.
+    pub(crate) fn pause_leader(&mut self) {
+        let pause_ms = self.rng.random_range(100..5_000);
+        let until = self.now + pause_ms;
         if let Some(leader) = self.leaders.last_mut() {
-            leader.frozen = until;
+            leader.paused_until = until;
         }
-        if length > 1_300 && !self.away {
+        if pause_ms > 1_300 && !self.store_down {
             self.elect();
         }
     }
 
     pub(crate) fn check(&mut self) {
-        for i in 0..LOOKS {
-            let holders = self
+        for i in 0..SAMPLE_COUNT {
+            let owners = self
                 .servers
                 .iter()
                 .filter(|s| s.up && s.keys[i].until > self.now);
-            let holders: Vec<_> = holders.map(|s| (s.life.to_string(), s.keys[i])).collect();
-            if holders.len() > 1 {
-                self.violations
-                    .push(format!("at {} key {}: {holders:?}", self.now, look(i)));
+            let owners: Vec<_> = owners.map(|s| (s.life.to_string(), s.keys[i])).collect();
+            if owners.len() > 1 {
+                self.violations.push(format!(
+                    "at {} key {}: {owners:?}",
+                    self.now,
+                    sampled_key(i)
+                ));
             }
         }
     }
 
     pub(crate) fn run(mut self) -> Self {
         self.elect();
-        while self.now < LENGTH && self.violations.is_empty() {
-            self.now += STEP;
-            if disturbed(self.now) {
-                self.disturb();
+        while self.now < RUN_MS && self.violations.is_empty() {
+            self.now += STEP_MS;
+            if faults_active(self.now) {
+                self.inject_fault();
             } else {
-                self.away = false;
+                self.store_down = false;
             }
-            if self.away {
-                self.away_until = self.now + 12_000;
+            if self.store_down {
+                self.outage_until = self.now + 12_000;
             }
             self.deliver();
             self.lead();
--- a/crates/chicoryrail-ownership/tests/peers.rs
+++ b/crates/chicoryrail-ownership/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What a host may conclude from what it hears of the others.
+//! Conclusions that a host draws from the heartbeats of others.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -40,11 +40,11 @@
     }
 }
 
-/// A host with a tenth of a core leads an installation whose requests need two tenths of one at the desk: each
-/// waits there until it is too late, at every host. A host of half a core should lead, if it is there and the
-/// store answers it; one that is hardly stronger is not worth the change.
+/// The leader has a tenth of a core, but scheduling for all requests needs two tenths, so the requests of
+/// all hosts wait past their deadlines. A live host with half a core that the store answers should lead;
+/// one that is only slightly more powerful is not worth a change.
 #[test]
-fn a_much_stronger_host_should_lead() {
+fn a_much_more_powerful_host_should_lead() {
     let mut peers = peers(3);
     let now = Millis(1_000);
     let east = BTreeSet::from(["east".into()]);
@@ -57,22 +57,22 @@
     assert!(!peers.stronger(Millis(2_000), 100, &east));
 }
 
-/// The strong host can't reach a data centre that the leader reaches, or the store: it could not lead, and
-/// would hand the lead back at once.
+/// Guards against electing a powerful host that can't reach the store or a data centre that the leader
+/// reaches: it could not lead, and would step down at once.
 #[rstest]
 #[case::reaches_less(HostState { reaches: BTreeSet::new(), ..power(500) })]
 #[case::without_the_store(HostState { store: false, ..power(500) })]
-fn strength_alone_does_not_lead(#[case] said: HostState) {
+fn power_alone_does_not_make_a_leader(#[case] state: HostState) {
     let mut peers = peers(1);
-    peers.heard(Millis(1_000), &host(0), addr(0), said);
-    let mine = BTreeSet::from(["east".into()]);
-    assert!(!peers.stronger(Millis(1_000), 100, &mine));
+    peers.heard(Millis(1_000), &host(0), addr(0), state);
+    let own_dcs = BTreeSet::from(["east".into()]);
+    assert!(!peers.stronger(Millis(1_000), 100, &own_dcs));
 }
 
-/// A leader is cut off from the store. It may go on only while it hears most of the hosts; silence of half
-/// of them may mean that they have another leader.
+/// A leader without the store may continue only while it sees most hosts. Guards against two leaders: if
+/// half of them are silent, they may have elected another one.
 #[test]
-fn most_hosts_must_be_heard() {
+fn leading_without_the_store_needs_a_majority() {
     let mut peers = peers(9);
     for i in 0..4 {
         peers.heard(Millis(1_000), &host(i), addr(i), store(true));
@@ -83,7 +83,7 @@
     assert!(!peers.hears_most(Millis(1_600), Millis(500)));
 }
 
-/// An old leader goes on sending its term after a new one was heard: the new one stays.
+/// Guards against a former leader that keeps sending its old term: it does not replace the newer one.
 #[test]
 fn terms_never_go_back() {
     let mut peers = peers(3);
@@ -95,10 +95,11 @@
     assert_eq!(peers.leader_addr(), None);
 }
 
-/// The leader is heard, but a question to its desk got no word in time: the desk is at work, and deals out
-/// what cold servers bear. Only after a long silence may a host take its own part.
+/// A slot query to the leader timed out although its heartbeats arrive, so its scheduler is still working
+/// and distributing the capacity of servers that are warming up. Guards against a host using its own share
+/// before the leader has been silent for long.
 #[test]
-fn a_leader_that_was_heard_lately_is_at_work() {
+fn a_leader_seen_recently_is_working() {
     let mut peers = peers(3);
     assert!(!peers.hears_leader(Millis(5_000), Millis(2_500)));
     peers.heard_leader(Millis(5_000));
@@ -106,21 +107,22 @@
     assert!(!peers.hears_leader(Millis(7_501), Millis(2_500)));
 }
 
-/// A data centre is lost with its strong hosts, or has only weak ones. While it has strong ones, one of them schedules
-/// for its servers; a host of another data centre does it then, so callers find a scheduler in either case.
+/// Strong hosts of a data centre schedule for its servers. Guards against servers without a scheduler if
+/// the data centre has lost its strong hosts or never had any: a host of another data centre schedules for
+/// them.
 #[test]
 fn a_host_near_the_servers_schedules_for_them() {
     let now = Millis(1_000);
-    let said = |dc: &str, power| HostState {
+    let state = |dc: &str, power| HostState {
         dc: Some(dc.into()),
         schedules: true,
         power,
         ..HostState::default()
     };
-    let own = (&host(9), &said("west", 500));
+    let own = (&host(9), &state("west", 500));
     let mut peers = peers(3);
-    peers.heard(now, &host(0), addr(0), said("east", 500));
-    peers.heard(now, &host(1), addr(1), said("north", 2));
+    peers.heard(now, &host(0), addr(0), state("east", 500));
+    peers.heard(now, &host(1), addr(1), state("north", 2));
     let at = |peers: &Peers, dc: &str, n: u32| peers.scheduler(now, own, Some(&dc.into()), &n);
     for n in 0..50 {
         assert_eq!(at(&peers, "east", n), SchedulerHost::At(addr(0)));
@@ -131,10 +133,10 @@
     assert!((0..50).all(|n| at(&peers, "east", n) != SchedulerHost::At(addr(0))));
 }
 
-/// Hosts go and come. A bound over all of them is shared among the most that were ever known: one that
-/// went silent may still send.
+/// Guards against exceeding a global limit after hosts disappear: it stays shared among the highest number
+/// of hosts ever known, since a host without heartbeats may still send requests.
 #[test]
-fn bounds_are_shared_among_all_ever_known() {
+fn limits_are_shared_among_all_hosts_ever_known() {
     let mut peers = peers(10);
     assert_eq!(peers.sharing(), 11);
     peers.set(Millis(60_000), Vec::new());
@@ -142,10 +144,10 @@
     assert_eq!(Peers::default().sharing(), 8);
 }
 
-/// The store is away for all hosts but one, or one has not been heard: that one may lead by now, so the
-/// leader must not grant for the time of an outage.
+/// Guards against the longer grants for a store outage while one host may still reach the store: a host
+/// that reports it as available or has no recent heartbeat may lead by now.
 #[test]
-fn an_outage_for_all_is_told_by_all() {
+fn an_outage_must_be_reported_by_all() {
     let mut peers = peers(3);
     for i in 0..3 {
         assert!(!peers.all_lost_store(Millis(1_000)));
--- a/crates/chicoryrail-ownership/tests/reach.rs
+++ b/crates/chicoryrail-ownership/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Which host should lead where data centres do not all reach each other.
+//! Choice of the leader while some data centres can't reach each other.
 
 use std::collections::BTreeSet;
 
@@ -16,39 +16,39 @@
     names.split_whitespace().map(DcName::new).collect()
 }
 
-/// Another host that said at `heard` which data centres it reaches.
-fn peers(heard: u64, reaches: &str) -> Peers {
-    peers_with(heard, reaches, true)
+/// Returns peers with one other host that advertised its reachable data centres at `seen_ms`.
+fn peers(seen_ms: u64, reaches: &str) -> Peers {
+    peers_with(seen_ms, reaches, true)
 }
 
-fn peers_with(heard: u64, reaches: &str, store: bool) -> Peers {
+fn peers_with(seen_ms: u64, reaches: &str, store: bool) -> Peers {
     let host = HostName::new("other");
     let mut peers = Peers::default();
     let addr = ([127, 0, 0, 1], 7_000).into();
     peers.set(Millis::ZERO, vec![(host.clone(), addr)]);
-    let said = HostState {
+    let state = HostState {
         store,
         reaches: dcs(reaches),
         ..HostState::default()
     };
-    peers.heard(Millis(heard), &host, addr, said);
+    peers.heard(Millis(seen_ms), &host, addr, state);
     peers
 }
 
-/// Packets of east do not reach west, where the leader is: none of east's servers answers it. A host in a third
-/// data centre reaches all of them, so it should lead; were the leader to stay, it would give the keys of
-/// east's servers to others, although most callers reach them.
+/// The leader in west gets no answer from east's servers, since packets pass in one direction only. Guards
+/// against it reassigning their keys although most callers reach them: a host in a third data centre that
+/// reaches all of them should lead.
 #[rstest]
 #[case::another_reaches_all(9_900, "west east north", 1_200, 2, true)]
 #[case::the_other_reaches_less(9_900, "east", 1_200, 2, false)]
 #[case::nobody_reaches_it(9_900, "west north", 1_200, 2, false)]
-#[case::its_word_is_old(9_000, "west east north", 1_200, 2, false)]
-#[case::silent_for_a_moment(9_900, "west east north", 700, 2, false)]
+#[case::its_state_is_outdated(9_000, "west east north", 1_200, 2, false)]
+#[case::silent_only_briefly(9_900, "west east north", 700, 2, false)]
 #[case::one_server_alone(9_900, "west east north", 1_200, 1, false)]
-fn a_leader_makes_way_for_one_that_reaches_more(
-    #[case] heard: u64,
+fn a_leader_steps_down_for_one_that_reaches_more(
+    #[case] seen_ms: u64,
     #[case] reaches: &str,
-    #[case] silent: u64,
+    #[case] silent_ms: u64,
     #[case] servers: usize,
     #[case] expected: bool,
 ) {
@@ -57,14 +57,14 @@
     reach.answered(Millis(9_700), &"north".into());
     reach.answered(Millis(8_500), &"east".into());
     let (east, west) = (DcName::new("east"), DcName::new("west"));
-    let since = Some(Millis(NOW.0 - silent));
+    let since = Some(Millis(NOW.0 - silent_ms));
     let lost = std::iter::repeat_n((&east, since), servers);
     let all = lost.chain([(&west, None), (&west, None)]);
-    let found = reach.out_of_reach(NOW, all, &peers(heard, reaches));
+    let found = reach.out_of_reach(NOW, all, &peers(seen_ms, reaches));
     assert_eq!(found.is_some(), expected);
 }
 
-/// The other host reaches everything, but the store does not answer it: it could not lead.
+/// Guards against choosing a host that reaches every data centre but not the store: it could not lead.
 #[test]
 fn a_host_without_the_store_is_no_better_leader() {
     let mut reach = Reach::default();
@@ -77,7 +77,7 @@
     assert_eq!((found(true), found(false)), (Some(east.clone()), None));
 }
 
-/// One server of the data centre answers, so it is reached.
+/// Guards against treating a data centre as unreachable while one of its servers answers.
 #[test]
 fn a_data_centre_with_one_answer_is_reached() {
     let reach = Reach::default();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn who_reaches_less_than_another_knows_it() {
+fn a_host_that_reaches_less_than_another_detects_it() {
     let peers = peers(9_900, "west east");
     assert!(peers.reach_more(NOW, &dcs("west")));
     assert!(!peers.reach_more(NOW, &dcs("west east")));
--- a/crates/chicoryrail-ownership/tests/watchers.rs
+++ b/crates/chicoryrail-ownership/tests/watchers.rs
@@ -1,4 +1,4 @@
-//! Which hosts watch the store, and whom the others follow.
+//! Selection of store watchers and of the hosts that others follow.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 
 const NOW: Millis = Millis(10_000);
 
-/// Core hosts of three data centres, `h0` in `dc0`, `h1` in `dc1` and so on.
+/// Core hosts in three data centres: `h00` in `dc0`, `h01` in `dc1` and so on.
 struct Fleet {
     hosts: Vec<(HostName, HostState)>,
 }
@@ -21,38 +21,38 @@
 impl Fleet {
     fn of(hosts: usize) -> Self {
         let hosts = (0..hosts).map(|i| {
-            let said = HostState {
+            let state = HostState {
                 store: true,
                 schedules: true,
                 power: 500,
                 dc: Some(dc(i)),
                 ..HostState::default()
             };
-            (HostName::new(&format!("h{i:02}")), said)
+            (HostName::new(&format!("h{i:02}")), state)
         });
         Self {
             hosts: hosts.collect(),
         }
     }
 
-    /// Returns what a host knows that hears all others but those in `silent`.
+    /// Returns the peer table of a host that receives heartbeats from all others except `silent`.
     fn peers_of(&self, own: usize, silent: &[usize]) -> Peers {
         let mut peers = Peers::default();
-        for (i, (name, said)) in self.hosts.iter().enumerate() {
+        for (i, (name, state)) in self.hosts.iter().enumerate() {
             if i != own && !silent.contains(&i) {
-                peers.heard(NOW, name, addr(i), said.clone());
+                peers.heard(NOW, name, addr(i), state.clone());
             }
         }
         peers
     }
 
-    /// Returns the hosts that watch the store, where those in `silent` are heard by nobody.
+    /// Returns the hosts that watch the store while nobody receives heartbeats from `silent`.
     fn watchers(&self, silent: &[usize]) -> Vec<usize> {
         let alive = (0..self.hosts.len()).filter(|i| !silent.contains(i));
         let watches = |i: &usize| {
-            let (name, said) = &self.hosts[*i];
+            let (name, state) = &self.hosts[*i];
             let peers = self.peers_of(*i, silent);
-            peers.should_watch(NOW, (name, said))
+            peers.should_watch(NOW, (name, state))
         };
         alive.filter(watches).collect()
     }
@@ -66,8 +66,8 @@
     ([10, 0, 0, i as u8], 7_200).into()
 }
 
-/// A fleet in which each host watched the store would make a call each for each change. Two hosts of different
-/// data centres do it, however many there are.
+/// Guards against every host watching the store, which would cost a call per host for each change: two
+/// hosts in different data centres watch, whatever the size of the fleet.
 #[rstest]
 #[case::few(3)]
 #[case::ten(10)]
@@ -80,8 +80,8 @@
     assert_eq!((watchers.len(), dcs.len()), (2, 2));
 }
 
-/// A watcher is lost, or a data centre with its watcher. As soon as the others no longer hear it, another one watches
-/// in its place, so callers everywhere are served by what the store says now.
+/// A watcher is lost, alone or with its whole data centre. Guards against stale data: once its heartbeats
+/// stop, another host watches instead.
 #[test]
 fn another_host_watches_in_place_of_a_lost_one() {
     let fleet = Fleet::of(9);
@@ -94,10 +94,10 @@
     assert!(after.iter().all(|i| !lost.contains(i)));
 }
 
-/// The store turns some hosts away and serves the others. Those that are turned away leave the watch to others; where
-/// it answers nobody, those that watched go on trying.
+/// The store answers some hosts only. Those without an answer leave watching to others; if it answers none,
+/// the previous watchers keep trying.
 #[test]
-fn hosts_that_the_store_turns_away_do_not_watch() {
+fn hosts_without_the_store_do_not_watch() {
     let mut fleet = Fleet::of(9);
     let before = fleet.watchers(&[]);
     for i in &before {
@@ -106,24 +106,25 @@
     let after = fleet.watchers(&[]);
     assert_eq!(after.len(), 2);
     assert!(after.iter().all(|i| !before.contains(i)));
-    for (_, said) in &mut fleet.hosts {
-        said.store = false;
+    for (_, state) in &mut fleet.hosts {
+        state.store = false;
     }
     assert_eq!(fleet.watchers(&[]), before);
 }
 
-/// The leader grants keys to the servers that it knows of: it watches itself, whatever its name.
+/// Guards against a leader with outdated knowledge of the servers: it watches the store itself, whatever
+/// its name.
 #[test]
 fn the_leader_watches() {
     let fleet = Fleet::of(9);
-    let (name, said) = &fleet.hosts[8];
+    let (name, state) = &fleet.hosts[8];
     let mut peers = fleet.peers_of(8, &[]);
-    assert!(!peers.should_watch(NOW, (name, said)));
+    assert!(!peers.should_watch(NOW, (name, state)));
     peers.term(7, Some(name));
-    assert!(peers.should_watch(NOW, (name, said)));
+    assert!(peers.should_watch(NOW, (name, state)));
 }
 
-/// A leaf host follows a core host of its data centre while there is one that works, another one else.
+/// A leaf host follows a core host of its own data centre, and one elsewhere only if all of those fail.
 #[test]
 fn a_leaf_host_follows_a_near_core_host() {
     let fleet = Fleet::of(9);
@@ -138,9 +139,10 @@
     assert!(![addr(1), addr(4), addr(7)].contains(&far));
 }
 
-/// At its start a leaf host knows from the store which core hosts there are, and has heard none: it asks one of them.
+/// At its start a leaf host knows the core hosts only from the store and has no heartbeats. Guards against
+/// finding nobody to follow: it selects one of the listed hosts.
 #[test]
-fn a_leaf_host_asks_a_listed_core_host_at_its_start() {
+fn a_starting_leaf_host_follows_a_listed_core_host() {
     let mut peers = Peers::default();
     let leaf = HostName::new("leaf");
     assert_eq!(peers.core_for(NOW, &leaf, &dc(0)), None);
@@ -148,7 +150,7 @@
     assert_eq!(peers.core_for(NOW, &leaf, &dc(0)), Some(addr(0)));
 }
 
-/// Strong hosts are core hosts up to a bound; weak ones on slow links only where the strong don't suffice.
+/// Strong hosts join the core up to a limit; weak hosts join only if the strong ones have too little power.
 #[rstest]
 #[case::the_first(500, &[], true)]
 #[case::a_weak_one_alone(2, &[], true)]
@@ -169,9 +171,9 @@
     assert_eq!(joins_core(power, listed), joins);
 }
 
-/// An older program lists a host without its strength; a value of somebody else's names no host.
+/// A value written by an older version has no power; a value in another format names no host.
 #[test]
-fn a_listed_host_is_read_again() {
+fn a_listed_host_is_parsed() {
     let host = CoreHost {
         addr: addr(3),
         power: 500,
