--- a/crates/chicoryrail-ownership/src/keys/assignment.rs
+++ b/crates/chicoryrail-ownership/src/keys/assignment.rs
@@ -21,7 +21,7 @@
 
 /// Lower bound of the limit on moves in one plan, and the limit for each candidate; the larger one applies.
 /// The limit grows with the number of servers because a range with two fifths of the load has to be spread
-/// over as large a part of the servers.
+/// over two fifths of the servers.
 const MOVES_MIN: usize = 24;
 const MOVES_PER_SERVER: f64 = 0.5;
 
@@ -29,8 +29,9 @@
 /// most of the key space and bring little relief.
 const MOVE_DENSITY_MIN: f64 = 0.25;
 
-/// Minimum number of servers that the keys of a lost server are spread over, if it had a fair share.
-const SUCCESSORS_PER_SERVER_MIN: f64 = 4.0;
+/// Number of pieces that a fair share of load is divided into: the keys of a lost server with a fair share
+/// go to about this many servers at most, and a new server takes its keys in at most this many pieces.
+const SUCCESSORS_PER_SERVER: f64 = 4.0;
 
 /// Average number of ranges for each server above which cold ranges are merged into a neighbour's. Each
 /// range costs a renewal every 600 ms.
@@ -43,7 +44,7 @@
 /// Load, as a fraction of a fair share, up to which a range counts as cold.
 const COLD_RANGE_SHARE: f64 = 0.08;
 
-/// Lower bound of the limit on merges in one plan; as many as the ranges that the plan's moves may add.
+/// Lower bound of the limit on merges in one plan: as many as the ranges that the plan's moves may add.
 const MERGES_MIN: usize = 48;
 
 /// Working copy of a key assignment: the ranges, their owners and the resulting loads.
@@ -171,7 +172,7 @@
     pub(crate) fn assign_unowned(&mut self) {
         let mean = self.curve.total() / self.candidates.len() as f64;
         while let Some((span, _)) = self.ranges.iter().find(|(_, owner)| owner.is_none()) {
-            let min_load = (mean / SUCCESSORS_PER_SERVER_MIN).min(self.curve.load(*span));
+            let min_load = (mean / SUCCESSORS_PER_SERVER).min(self.curve.load(*span));
             let to = self.most_spare();
             let piece = self
                 .curve
@@ -200,10 +201,10 @@
     /// Moves load from the busiest candidates to a new one until its relative load is about as high as
     /// theirs.
     fn fill_new(&mut self, new: usize) {
-        for _ in 0..SUCCESSORS_PER_SERVER_MIN as usize {
+        for _ in 0..SUCCESSORS_PER_SERVER as usize {
             let from = self.busiest();
             let gap = self.loads[from] - self.fair(from) * self.share(new);
-            let amount = (gap / 2.0).min(self.fair(new) / SUCCESSORS_PER_SERVER_MIN);
+            let amount = (gap / 2.0).min(self.fair(new) / SUCCESSORS_PER_SERVER);
             let Some(piece) = self.select_piece(from, amount, 0.0) else {
                 return;
             };
@@ -256,7 +257,7 @@
     }
 
     /// Returns a range of a candidate with about `amount` load and as few keys as possible, or `None` if
-    /// its load for each key is below `density`.
+    /// its average load per key is below `density`.
     fn select_piece(&self, from: usize, amount: f64, density: f64) -> Option<KeyRange> {
         if amount <= 0.0 {
             return None;
--- a/crates/chicoryrail-ownership/src/keys/key_leases.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_leases.rs
@@ -48,7 +48,7 @@
 }
 
 impl KeyLeases {
-    /// Takes over the leadership at `now`, from the record in the store.
+    /// Builds the leases of a new leader from the record in the store, at `now`.
     ///
     /// The first action is to write the record again under a higher fence. Every server in the record may
     /// hold its keys for as long as an earlier leader may have renewed them.
@@ -217,8 +217,8 @@
         let Some(next) = self.pending_record.take() else {
             return;
         };
-        // A server may have been granted keys again after they were listed as held by a former owner, and
-        // then holds them until its last grant ends; so the end of each lease is computed again.
+        // A former owner may have been granted its loose keys again since, and then holds them until its
+        // last grant ends; so the end of each lease is computed again.
         let before = std::mem::take(&mut self.former_leases);
         let former_leases = next.loose.iter().map(|owned| {
             let overlaps = |c: &&FormerLease| {
--- a/crates/chicoryrail-ownership/src/keys/key_load.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_load.rs
@@ -12,9 +12,9 @@
 /// Time window over which load is averaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Window {
-    /// About the last second: shows which range has just become busy.
+    /// The last second or two: shows which range has just become busy.
     Short,
-    /// The last few seconds: enough requests to tell a busy server from random variation.
+    /// The last few seconds: enough requests to distinguish a busy server from random variation.
     Long,
 }
 
--- a/crates/chicoryrail-ownership/src/keys/load_curve.rs
+++ b/crates/chicoryrail-ownership/src/keys/load_curve.rs
@@ -16,7 +16,7 @@
 /// end to be preferred: a piece from the middle splits one range into three.
 const END_LENGTH_FACTOR: u32 = 2;
 
-/// Maximum load of a piece relative to the requested load.
+/// Maximum load of a preferred piece, relative to the requested load.
 pub(crate) const OVERSHOOT_FACTOR: f64 = 1.5;
 
 /// Number of keys in the key space.
@@ -30,7 +30,7 @@
 }
 
 impl LoadCurve {
-    /// Builds the curve with the load of each key capped at what one average server can process, and
+    /// Builds the curve with the load of each key capped at the fair share of an average server, and
     /// returns it with the fair load for a weight of 1.
     pub(crate) fn with_fair_load(weights: &[f64], load: &KeyLoad, window: Window) -> (Self, f64) {
         let total_weight: f64 = weights.iter().sum();
--- a/crates/chicoryrail-ownership/src/keys/plan.rs
+++ b/crates/chicoryrail-ownership/src/keys/plan.rs
@@ -22,12 +22,12 @@
 /// Load relative to the fair share above which a server is relieved at once.
 const RELIEF_THRESHOLD: f64 = 1.4;
 
-/// Standard deviations added to that threshold: the short window holds only a few dozen requests for each
-/// server, so its load varies randomly.
+/// Standard deviations added to `RELIEF_THRESHOLD`: a server gets only a few dozen requests in the last
+/// second or two, so its load varies randomly.
 const RELIEF_DEVIATIONS: f64 = 1.5;
 
-/// Standard deviations above the threshold that do not count as overload when balancing without urgency:
-/// moves that follow random variation bring nothing.
+/// Standard deviations above `FAIR_SHARE_MARGIN` that do not count as overload when balancing without
+/// urgency: moves that follow random variation bring nothing.
 const BALANCE_DEVIATIONS: f64 = 0.25;
 
 /// Minimum number of observed requests for a plan to take the load into account.
--- a/crates/chicoryrail-ownership/src/keys/record.rs
+++ b/crates/chicoryrail-ownership/src/keys/record.rs
@@ -35,19 +35,19 @@
     /// Returns the keys that are not in `other`, as zero, one or two ranges.
     #[must_use]
     pub fn without(self, other: Self) -> Vec<Self> {
-        let Some(cut) = self.intersect(other) else {
+        let Some(overlap) = self.intersect(other) else {
             return vec![self];
         };
         let mut left = Vec::with_capacity(2);
-        if self.first < cut.first {
+        if self.first < overlap.first {
             left.push(Self {
                 first: self.first,
-                last: cut.first - 1,
+                last: overlap.first - 1,
             });
         }
-        if cut.last < self.last {
+        if overlap.last < self.last {
             left.push(Self {
-                first: cut.last + 1,
+                first: overlap.last + 1,
                 last: self.last,
             });
         }
--- a/crates/chicoryrail-ownership/src/watchers.rs
+++ b/crates/chicoryrail-ownership/src/watchers.rs
@@ -41,8 +41,7 @@
     /// Returns `true` if this core host, `own`, is one of the hosts that watch the store.
     ///
     /// Hosts agree as far as they see the same other hosts; otherwise too many watch for a while. Hosts
-    /// that the store does not answer are skipped, unless it answers none: then the order includes all of
-    /// them.
+    /// that the store does not answer are skipped, unless it answers none of them.
     #[must_use]
     pub fn should_watch(&self, now: Millis, own: (&HostName, &HostState)) -> bool {
         let (name, state) = own;
@@ -74,8 +73,8 @@
     /// listed host if there is none.
     #[must_use]
     pub fn core_for(&self, now: Millis, name: &HostName, dc: &DcName) -> Option<SocketAddr> {
-        let heard = self.select_relay(now, name, dc, self.schedulers(now));
-        heard.or_else(|| self.select_relay(now, name, dc, self.hosts.iter()))
+        let recent = self.select_relay(now, name, dc, self.schedulers(now));
+        recent.or_else(|| self.select_relay(now, name, dc, self.hosts.iter()))
     }
 
     /// Records that a host failed to relay.
--- a/crates/chicoryrail-ownership/tests/key_plan.rs
+++ b/crates/chicoryrail-ownership/tests/key_plan.rs
@@ -30,8 +30,8 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut load = KeyLoad::default();
     for _ in 0..600 {
-        let draw: f64 = rng.random();
-        load.seen((60_000.0 + 5_000.0 * draw.powi(2)) as u16);
+        let offset: f64 = rng.random();
+        load.seen((60_000.0 + 5_000.0 * offset.powi(2)) as u16);
         load.seen(rng.random());
     }
     load
