--- a/crates/chicoryrail-router/src/route/admission.rs
+++ b/crates/chicoryrail-router/src/route/admission.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether it may run.
+//! Authenticates callers by API key.
 
 use std::sync::Arc;
 
@@ -13,14 +13,14 @@
 use crate::route::refusal::Cause;
 use crate::state::Router;
 
-/// Tells whose request it is; `None` where it needs no key.
+/// Returns the organisation that a request belongs to, or `None` if the request needs no API key.
 ///
-/// `now` must have been read after the request's head, which [`chicoryrail_policy::Freshness`] counts on.
+/// `now` must have been read after the request's head, as [`chicoryrail_policy::Freshness`] requires.
 ///
 /// # Errors
 ///
-/// Returns why the request may not run.
-pub(crate) fn identify(
+/// Returns the cause for which the request is refused.
+pub(crate) fn authenticate(
     router: &Router,
     site: &Site,
     route: &Route,
@@ -30,7 +30,7 @@
     if site.organisations().is_none() || route.public {
         return Ok(None);
     }
-    // A host that does not know the newest keys tells nobody that a key is unknown.
+    // A host whose keys may be out of date neither accepts a key nor refuses one as unknown.
     if !router.knows_revocations(now) {
         return Err(Cause::StaleConfig);
     }
@@ -38,16 +38,18 @@
     let (Some(key), None) = (keys.next(), keys.next()) else {
         return Err(Cause::NoApiKey);
     };
-    let holder = router.organisations.holder(key.as_bytes());
-    holder.map(Some).ok_or(Cause::UnknownApiKey)
+    let organisation = router.organisations.holder(key.as_bytes());
+    organisation.map(Some).ok_or(Cause::UnknownApiKey)
 }
 
-/// Sets the headers that the server gets: the organisation's name, whatever the caller sent under it, and never the key.
+/// Replaces the caller's API key and any organisation header by the name of the authenticated organisation, so that a
+/// server never receives a key or a forged name.
 ///
 /// # Errors
 ///
-/// Returns that no header can carry the name; the decoder of configurations admits no such name.
-pub(crate) fn name_organisation(
+/// Returns [`Cause::UnknownApiKey`] if the name is not a valid header value; the configuration decoder accepts no
+/// such name.
+pub(crate) fn set_organisation_header(
     headers: &mut HeaderMap,
     organisation: Option<&Organisation>,
 ) -> Result<(), Cause> {
--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -1,4 +1,4 @@
-//! Whether a request waits, is sent, sent again, or refused.
+//! Decides whether a request waits, is sent, retried or refused.
 
 use std::rc::Rc;
 
@@ -11,48 +11,54 @@
 use monoio::time::timeout;
 
 use crate::route::call::Call;
-use crate::route::call::LEAST_LEFT;
+use crate::route::call::SEND_TIME_MIN;
 use crate::route::choose::Choice;
 use crate::route::choose::choose;
-use crate::route::held_slot::Slot;
 use crate::route::refusal::Cause;
 use crate::route::refusal::Refusal;
+use crate::route::send::Indeterminate;
 use crate::route::send::NotRun;
-use crate::route::send::Sent;
-use crate::route::send::Unknown;
+use crate::route::send::SendOutcome;
 use crate::route::send::send;
-use crate::route::slot;
+use crate::route::slot_guard::SlotGuard;
+use crate::route::slot_query;
 use crate::state::Router;
 use crate::state::Service;
 use crate::state::Target;
 
-/// Part of the aim for which a request waits here for room: beyond it, callers are better off coming back
-/// through another host, which may know of room.
-const LONE_WAIT_AIM_DIVISOR: u64 = 4;
+/// Divisor of the latency target; the result is the longest time for which a request without a scheduler waits for a
+/// server. After that, the caller is more likely to succeed with a retry through another host, which may know of a
+/// free server.
+const FALLBACK_WAIT_DIVISOR: u64 = 4;
 
-/// Part of the aim for which a request waits for a key that changes hands; the move takes as long as the
-/// work that is running on the key.
-const KEY_MOVE_AIM_DIVISOR: u64 = 1;
+/// Divisor of the latency target; the result is the longest time for which a request waits while its key moves to
+/// another owner. The move takes as long as the requests that are running on the key.
+const KEY_MOVE_WAIT_DIVISOR: u64 = 1;
 
-/// Longest pause between two looks for room, should nobody say that there is some.
+/// Longest time between two checks for a server, if no change notification arrives.
 const TARGET_POLL_INTERVAL: Millis = Millis(10);
 
-/// Multiple of the usual work after which a silent server is given up for another one: beyond what a
-/// slow server with a slow neighbour takes, since breaking off work that is running wastes it.
-const SILENT_WORK_TIMES_MAX: f64 = 8.0;
+/// Multiple of the usual service time after which a request to a silent server is cancelled and sent to another one.
+/// It exceeds what a slow server with a slow neighbour takes, since cancelling a running request wastes its work.
+const SILENT_WORK_FACTOR: f64 = 8.0;
 
-/// One request's tries.
-struct Tries<'a> {
+/// The attempts to serve one request.
+struct Attempts<'a> {
     router: &'a Rc<Router>,
     service: Rc<Service>,
     call: &'a Call,
     body: &'a Rc<RequestBody>,
+    /// Servers of the earlier attempts, also those that could not be reached.
     tried: Vec<Life>,
-    /// Servers that may have run it.
-    ran: u32,
+    /// Number of sends after which the request may have run.
+    may_have_run: u32,
 }
 
-/// Serves a request.
+/// Serves a request, with retries within the limits of its route and the retry budget.
+///
+/// # Errors
+///
+/// Returns the refusal if no server returned a usable response.
 pub(crate) async fn run(
     router: &Rc<Router>,
     call: &Call,
@@ -62,74 +68,75 @@
     let now = router.now();
     let bound = router.retry_bound();
     service.retries.borrow_mut().request(now, &bound);
-    let mut tries = Tries {
+    let mut attempts = Attempts {
         router,
         service,
         call,
         body,
         tried: Vec::new(),
-        ran: 0,
+        may_have_run: 0,
     };
-    tries.run().await
+    attempts.run().await
 }
 
-impl Tries<'_> {
+impl Attempts<'_> {
     async fn run(&mut self) -> Result<Response<Body>, Refusal> {
         loop {
-            let place = self.place().await?;
-            let life = place.0.life.clone();
-            let limit = self.limit();
+            let assignment = self.acquire_server().await?;
+            let life = assignment.0.life.clone();
+            let limit = self.attempt_timeout();
             let (service, call, body) = (&self.service, self.call, self.body);
-            let sent = send(self.router, service, place, call, body, limit).await;
+            let sent = send(self.router, service, assignment, call, body, limit).await;
             self.log(&life, &sent);
             self.tried.push(life);
-            let (failed, error) = match sent {
-                Sent::Answered(answer) => return Ok(answer),
-                Sent::ServerError(answer) => {
-                    self.ran += 1;
-                    if !self.may_repeat(true) {
-                        return Ok(answer);
+            let (refusal, reached_server) = match sent {
+                SendOutcome::Answered(response) => return Ok(response),
+                SendOutcome::ServerError(response) => {
+                    self.may_have_run += 1;
+                    if !self.may_retry(true) {
+                        return Ok(response);
                     }
                     continue;
                 }
-                Sent::NotRun(why) => (self.not_run(why), why != NotRun::Unreachable),
-                Sent::Unknown(why) => {
-                    self.ran += 1;
-                    (self.unknown(why), true)
+                SendOutcome::NotRun(why) => (self.refuse_not_run(why), why != NotRun::Unreachable),
+                SendOutcome::Indeterminate(why) => {
+                    self.may_have_run += 1;
+                    (self.refuse_indeterminate(why), true)
                 }
             };
-            if !self.may_repeat(error) {
-                return Err(failed);
+            if !self.may_retry(reached_server) {
+                return Err(refusal);
             }
         }
     }
 
-    /// Waits until there is a server for the request: the scheduler says which; without it this host chooses by
-    /// what it knows itself.
-    async fn place(&self) -> Result<(Rc<Target>, Slot), Refusal> {
+    /// Waits for a server for the request. The scheduler assigns it; if the scheduler is unavailable, this host chooses
+    /// from what it knows itself.
+    async fn acquire_server(&self) -> Result<(Rc<Target>, SlotGuard), Refusal> {
         let started = self.router.now();
-        let answer = slot::ask(self.router, &self.service, self.call, &self.tried).await;
-        let by_scheduler = !matches!(answer, slot::Answer::Silent);
-        let place = match answer {
-            slot::Answer::Send(target, slot) => Ok((target, slot)),
-            slot::Answer::Refuse(after) => Err(self.refuse(Cause::Full, after)),
-            slot::Answer::OverQuota(after) => Err(self.refuse(Cause::OverQuota, after)),
-            slot::Answer::Silent => self.place_alone().await,
+        let decision =
+            slot_query::request_slot(self.router, &self.service, self.call, &self.tried).await;
+        let by_scheduler = !matches!(decision, slot_query::Decision::Unavailable);
+        let assignment = match decision {
+            slot_query::Decision::Send(target, slot) => Ok((target, slot)),
+            slot_query::Decision::Refuse(after) => Err(self.refuse(Cause::Full, after)),
+            slot_query::Decision::OverQuota(after) => Err(self.refuse(Cause::OverQuota, after)),
+            slot_query::Decision::Unavailable => self.acquire_without_scheduler().await,
         };
-        let mut trail = self.call.trail.borrow_mut();
-        trail.waited = trail.waited + self.router.now().since(started);
-        trail.by_scheduler = by_scheduler;
-        if let Ok((target, _)) = &place {
-            trail.server = Some(target.life.clone());
-            trail.sends += 1;
+        let mut stats = self.call.stats.borrow_mut();
+        stats.waited = stats.waited + self.router.now().since(started);
+        stats.by_scheduler = by_scheduler;
+        if let Ok((target, _)) = &assignment {
+            stats.server = Some(target.life.clone());
+            stats.sends += 1;
         }
-        place
+        assignment
     }
 
-    /// Finds a server without the scheduler.
-    async fn place_alone(&self) -> Result<(Rc<Target>, Slot), Refusal> {
+    /// Chooses a server, and takes a quota token if one is needed, without the scheduler.
+    async fn acquire_without_scheduler(&self) -> Result<(Rc<Target>, SlotGuard), Refusal> {
         let target = self.wait_for_target().await?;
-        if let Some((name, limit)) = self.call.needs_token() {
+        if let Some((name, limit)) = self.call.needed_quota() {
             let (now, hosts) = (self.router.now(), self.router.lone_hosts());
             let organisations = &self.router.organisations;
             if let Err(after) = organisations.take_lone(now, name, limit, hosts) {
@@ -138,35 +145,35 @@
                 self.router.counters.over_quota(name);
                 return Err(self.refuse(Cause::OverQuota, after));
             }
-            self.call.has_token.set(true);
+            self.call.has_quota_token.set(true);
         }
-        let slot = Slot::without(self.router, &self.service, &target);
+        let slot = SlotGuard::without_scheduler(self.router, &self.service, &target);
         Ok((target, slot))
     }
 
-    /// Waits until there is a server for the request, by what this host knows itself.
+    /// Waits for a server for the request, chosen from what this host knows itself.
     async fn wait_for_target(&self) -> Result<Rc<Target>, Refusal> {
-        let aim = self.call.route.aim;
+        let latency_target = self.call.route.aim;
         let started = self.router.now();
         loop {
             let seen = self.service.changed.count();
             let now = self.router.now();
-            let left = self.call.left(now);
-            if left < LEAST_LEFT {
+            let left = self.call.time_left(now);
+            if left < SEND_TIME_MIN {
                 return Err(self.refuse(Cause::Late, Millis::ZERO));
             }
-            let (cause, room) =
+            let (cause, free_in) =
                 match choose(self.router, &self.service, self.call, &self.tried, now) {
                     Choice::Send(target) => return Ok(target),
-                    Choice::Wait(cause, room) => (cause, room),
+                    Choice::Wait(cause, free_in) => (cause, free_in),
                 };
-            let patience = match cause {
-                Cause::KeyMoving => Millis(aim.0 / KEY_MOVE_AIM_DIVISOR),
-                _ => Millis(aim.0 / LONE_WAIT_AIM_DIVISOR),
+            let wait_max = match cause {
+                Cause::KeyMoving => Millis(latency_target.0 / KEY_MOVE_WAIT_DIVISOR),
+                _ => Millis(latency_target.0 / FALLBACK_WAIT_DIVISOR),
             };
             let waited = now.since(started);
-            if waited >= patience.min(Millis(left.0 / 2)) {
-                return Err(self.refuse(cause, room));
+            if waited >= wait_max.min(Millis(left.0 / 2)) {
+                return Err(self.refuse(cause, free_in));
             }
             let _ = timeout(
                 TARGET_POLL_INTERVAL.duration(),
@@ -176,34 +183,34 @@
         }
     }
 
-    /// Returns how long to wait for this try's answer: a request that may be repeated leaves a silent
-    /// server while there is time for another.
-    fn limit(&self) -> Millis {
-        let left = self.call.left(self.router.now());
-        let again = self.call.repeats()
+    /// Returns how long to wait for the response to this attempt. An idempotent request without a key leaves a silent
+    /// server while there is time for another one, but not before twice the latency target.
+    fn attempt_timeout(&self) -> Millis {
+        let left = self.call.time_left(self.router.now());
+        let has_alternative = self.call.is_idempotent()
             && self.call.key.is_none()
-            && self.ran + 1 < self.call.route.attempts
+            && self.may_have_run + 1 < self.call.route.attempts
             && self.body.is_whole();
-        // While this process stops, an answer of its own in place of a server's would be a request lost
-        // to the stop.
-        if !again || self.router.process.stop.is_cancelled() {
+        // While this process stops, a request that is cancelled to be retried may end with an error of this host
+        // instead of the server's response: the shutdown would have lost it.
+        if !has_alternative || self.router.process.stop.is_cancelled() {
             return left;
         }
         let work = self.router.work(&self.call.route.name, self.call.route.aim);
-        let patience = Millis((work * SILENT_WORK_TIMES_MAX / 1_000.0) as u64);
-        patience.max(self.call.route.aim.times(2)).min(left)
+        let silence_max = Millis((work * SILENT_WORK_FACTOR / 1_000.0) as u64);
+        silence_max.max(self.call.route.aim.times(2)).min(left)
     }
 
-    /// Tells whether the request may be sent again; `counts` tells whether the last send reached a server,
-    /// so that the next is a repeat.
-    fn may_repeat(&self, counts: bool) -> bool {
-        let unrun = self.ran == 0;
-        let may = (unrun || self.call.repeats())
-            && self.ran < self.call.route.attempts
+    /// Returns whether the request may be sent again. If the last send reached a server (`reached_server`), the next
+    /// one is a retry and consumes the retry budget.
+    fn may_retry(&self, reached_server: bool) -> bool {
+        let not_run = self.may_have_run == 0;
+        let may = (not_run || self.call.is_idempotent())
+            && self.may_have_run < self.call.route.attempts
             && self.tried.len() < 2 + self.call.route.attempts as usize
             && self.body.is_whole()
-            && self.call.left(self.router.now()) > LEAST_LEFT;
-        if !may || !counts {
+            && self.call.time_left(self.router.now()) > SEND_TIME_MIN;
+        if !may || !reached_server {
             return may;
         }
         let bound = self.router.retry_bound();
@@ -215,7 +222,7 @@
         may
     }
 
-    fn not_run(&self, why: NotRun) -> Refusal {
+    fn refuse_not_run(&self, why: NotRun) -> Refusal {
         let cause = match why {
             NotRun::Unreachable => Cause::NoServer,
             NotRun::Refused => Cause::Full,
@@ -225,16 +232,18 @@
         self.refuse(cause, Millis((work / 1_000.0) as u64))
     }
 
-    fn unknown(&self, why: Unknown) -> Refusal {
+    fn refuse_indeterminate(&self, why: Indeterminate) -> Refusal {
         match why {
-            Unknown::Silent => Cause::Silent.into(),
-            Unknown::Broken | Unknown::Crossed | Unknown::Spoiled => Cause::Broken.into(),
+            Indeterminate::Silent => Cause::Silent.into(),
+            Indeterminate::Broken | Indeterminate::Crossed | Indeterminate::Spoiled => {
+                Cause::Broken.into()
+            }
         }
     }
 
-    /// Builds a refusal that is true: where an earlier send may have run, it promises nothing.
-    fn refuse(&self, cause: Cause, room: Millis) -> Refusal {
-        if self.ran > 0 {
+    /// Builds a refusal. If an earlier send may have run, its cause does not promise that the request has not run.
+    fn refuse(&self, cause: Cause, free_in: Millis) -> Refusal {
+        if self.may_have_run > 0 {
             let cause = if cause == Cause::Late {
                 Cause::Silent
             } else {
@@ -242,19 +251,19 @@
             };
             return cause.into();
         }
-        let left = self.call.left(self.router.now());
+        let left = self.call.time_left(self.router.now());
         Refusal {
             cause,
-            after: Some(return_time(&mut rand::rng(), room, left)),
+            retry_after: Some(return_time(&mut rand::rng(), free_in, left)),
         }
     }
 
-    fn log(&self, life: &Life, sent: &Sent) {
-        if matches!(sent, Sent::Answered(_)) {
+    fn log(&self, life: &Life, sent: &SendOutcome) {
+        if matches!(sent, SendOutcome::Answered(_)) {
             return;
         }
         log::info!(request = self.call.id, server:% = life, service:% = self.service.name,
             tries = self.tried.len() + 1, fence = self.service.keys.borrow().fence(),
-            left_ms = self.call.left(self.router.now()).0; "send_{}", sent.name());
+            left_ms = self.call.time_left(self.router.now()).0; "send_{}", sent.name());
     }
 }
--- a/crates/chicoryrail-router/src/route/caller.rs
+++ b/crates/chicoryrail-router/src/route/caller.rs
@@ -1,4 +1,4 @@
-//! Serves callers.
+//! Serves callers' requests.
 
 use std::rc::Rc;
 
@@ -25,51 +25,52 @@
 use crate::route::refusal::Refusal;
 use crate::state::Router;
 
-/// Age of the process up to which requests wait for its first configuration.
-const FIRST_CONFIG_MAX: Millis = Millis(400);
+/// Process age up to which requests wait for the first configuration instead of being refused.
+const FIRST_CONFIG_WAIT_MAX: Millis = Millis(400);
 
-/// Time after which a caller is asked back where this host knows no configuration, or none that is surely current.
-const NO_CONFIG_RETRY: Millis = Millis(300);
-const STALE_CONFIG_RETRY: Millis = Millis(500);
+/// Time after which a caller should retry if this host has no configuration, or none that is known to be current.
+const NO_CONFIG_RETRY_AFTER: Millis = Millis(300);
+const STALE_CONFIG_RETRY_AFTER: Millis = Millis(500);
 
-/// Answers a caller's request.
+/// Serves a caller's request.
 pub(crate) async fn serve(router: Rc<Router>, request: Request<Body>) -> Response<Body> {
-    let _serving = Serving::new(&router);
+    let _serving = ServingGuard::new(&router);
     let (head, body) = request.into_parts();
     let id = head.headers.get(call_header::REQUEST_ID).cloned();
     await_config(&router).await;
-    let mut answer = match Call::read(&router, head) {
+    let mut response = match Call::parse(&router, head) {
         Ok(call) => run(&router, call, body).await,
-        Err(cause) => unread(&router, id.as_ref(), cause),
+        Err(cause) => refuse_unparsed(&router, id.as_ref(), cause),
     };
     if let Some(id) = id {
-        answer.headers_mut().insert(call_header::REQUEST_ID, id);
+        response.headers_mut().insert(call_header::REQUEST_ID, id);
     }
     if router.process.stop.is_cancelled() {
-        // The caller goes elsewhere with its next request. Were its idle connection closed instead, the
-        // next request could cross the close on its way.
+        // `connection: close` sends the caller's next request to another host. Closing its idle connection instead
+        // would race with a request that is already on its way.
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    answer
+    response
 }
 
-/// Waits a moment for the first configuration. A host that starts while the store answers has it sooner than a refused
-/// caller would be back.
+/// Waits a short time for the first configuration. If the store is available, a host that starts receives it before a
+/// refused caller would retry.
 async fn await_config(router: &Router) {
     while router.site().is_none() {
         let seen = router.news.count();
-        let left = FIRST_CONFIG_MAX.since(router.now());
-        if left == Millis::ZERO {
+        let time_left = FIRST_CONFIG_WAIT_MAX.since(router.now());
+        if time_left == Millis::ZERO {
             return;
         }
-        let _ = timeout(left.duration(), router.news.after(seen)).await;
+        let _ = timeout(time_left.duration(), router.news.after(seen)).await;
     }
 }
 
-/// Tells whether a request may begin before those in front of it on its connection are answered: reads may,
-/// whose short answers wait in memory. An order would run although the caller, cut off before its turn,
-/// sends it again; a download would hold its server's slot until its turn.
+/// Returns whether a pipelined request may start before the earlier requests on its connection have their responses.
+///
+/// Only reads may: their short responses are kept in memory until their turn. An order could run although its caller,
+/// disconnected before the order's turn, sends it again. A download would occupy its server's slot until its turn.
 pub(crate) fn may_begin_early(router: &Router, head: &Parts) -> bool {
     let route = router.site().and_then(|site| find_route(&site, head));
     route.is_some_and(|r| r.kind == RouteKind::Read)
@@ -81,12 +82,12 @@
     let call = Rc::new(call);
     let mut guard = AbandonGuard::new(router, &call);
     let result = match call.route.kind.repeat() {
-        Repeat::Any => answer(router, &call, &body).await,
-        // A request that may run once is not broken off when its caller leaves: what its server has
-        // begun is to end whole. The task goes on when this one is dropped.
+        Repeat::Any => forward(router, &call, &body).await,
+        // A request that must not run twice is not cancelled when its caller disconnects, so that its server
+        // completes what it has begun. The spawned task continues when this future is dropped.
         Repeat::Once => {
             let (router, call) = (Rc::clone(router), Rc::clone(&call));
-            let task = monoio::spawn(async move { answer(&router, &call, &body).await });
+            let task = monoio::spawn(async move { forward(&router, &call, &body).await });
             task.await
         }
     };
@@ -94,7 +95,8 @@
     finish(router, &call, result)
 }
 
-/// Tells where a caller leaves before its answer: the HTTP layer then drops what serves it.
+/// Counts and logs a request whose caller disconnects before its response: the HTTP layer then drops the future that
+/// serves the request, and this guard with it.
 struct AbandonGuard {
     router: Rc<Router>,
     call: Rc<Call>,
@@ -124,39 +126,41 @@
     }
 }
 
-async fn answer(
+async fn forward(
     router: &Rc<Router>,
     call: &Call,
     body: &Rc<RequestBody>,
 ) -> Result<Response<Body>, Refusal> {
-    let left = call.left(router.now());
-    body.prefetch(left).await.map_err(|code| match code {
-        BodyFault::TooLarge => Cause::TooLarge,
-        BodyFault::Slow => Cause::SlowBody,
-        BodyFault::Cut => Cause::BadBody,
-    })?;
+    let time_left = call.time_left(router.now());
+    body.prefetch(time_left)
+        .await
+        .map_err(|fault| match fault {
+            BodyFault::TooLarge => Cause::TooLarge,
+            BodyFault::Slow => Cause::SlowBody,
+            BodyFault::Cut => Cause::BadBody,
+        })?;
     attempts::run(router, call, body).await
 }
 
-/// Counts and logs a request's end.
+/// Counts and logs the end of a request and returns its response.
 fn finish(router: &Router, call: &Call, result: Result<Response<Body>, Refusal>) -> Response<Body> {
     let took = router.now().since(call.arrived);
-    check_end(router, call, &result);
+    check_invariants(router, call, &result);
     let service = call.service_name().as_str();
-    let (outcome, answer) = match result {
-        Ok(answer) => {
-            let outcome = outcome(&answer, took, call.route.aim);
-            if sampled(router, call) || outcome != "in_time" {
-                log_end(call, outcome, took, Some(answer.status()), None);
+    let (outcome, response) = match result {
+        Ok(response) => {
+            let outcome = outcome(&response, took, call.route.aim);
+            if is_sampled(router, call) || outcome != "in_time" {
+                log_end(call, outcome, took, Some(response.status()), None);
             }
-            (outcome, answer)
+            (outcome, response)
         }
         Err(refusal) => {
             let labels = [service, refusal.cause.name()];
             router.counters.refusals.with_label_values(&labels).inc();
             let status = Some(refusal.cause.status());
             log_end(call, "refused", took, status, Some(refusal));
-            ("refused", refusal.answer())
+            ("refused", refusal.into_response())
         }
     };
     let seconds = |m: Millis| m.0 as f64 / 1_000.0;
@@ -166,7 +170,7 @@
         .took
         .with_label_values(&labels)
         .observe(seconds(took));
-    let waited = seconds(call.trail.borrow().waited);
+    let waited = seconds(call.stats.borrow().waited);
     counters
         .waited
         .with_label_values(&[service])
@@ -176,24 +180,27 @@
         .requests
         .with_label_values(&[service, outcome])
         .inc();
-    answer
+    response
 }
 
-/// Asserts that an answer is the caller's own, and that a refusal which promises that nothing ran is true.
-fn check_end(router: &Router, call: &Call, result: &Result<Response<Body>, Refusal>) {
+/// Checks that a response belongs to the caller's request, and that a refused request has not run if the refusal
+/// promises so.
+fn check_invariants(router: &Router, call: &Call, result: &Result<Response<Body>, Refusal>) {
     let invariants = &router.process.invariants;
     match result {
-        Ok(answer) => {
-            let own = answer.headers().get(call_header::REQUEST_ID)
+        Ok(response) => {
+            let ids_match = response.headers().get(call_header::REQUEST_ID)
                 == call.headers.get(call_header::REQUEST_ID);
-            invariants.check(Invariant::OwnAnswer, own, || format!("request={}", call.id));
+            invariants.check(Invariant::OwnAnswer, ids_match, || {
+                format!("request={}", call.id)
+            });
         }
         Err(refusal) => {
-            let ran = call.trail.borrow().may_have_run;
-            let holds = ran == 0 || !refusal.cause.promises_not_run();
-            invariants.check(Invariant::NotRunTrue, holds, || {
+            let may_have_run = call.stats.borrow().may_have_run;
+            let promise_holds = may_have_run == 0 || !refusal.cause.promises_not_run();
+            invariants.check(Invariant::NotRunTrue, promise_holds, || {
                 format!(
-                    "request={} cause={} ran={ran}",
+                    "request={} cause={} ran={may_have_run}",
                     call.id,
                     refusal.cause.name()
                 )
@@ -202,7 +209,7 @@
     }
 }
 
-/// Logs a request's end, with what decided it.
+/// Logs the end of a request, with the values that determined its outcome.
 fn log_end(
     call: &Call,
     outcome: &str,
@@ -210,48 +217,50 @@
     status: Option<StatusCode>,
     refusal: Option<Refusal>,
 ) {
-    let trail = call.trail.borrow();
-    let server = trail
+    let stats = call.stats.borrow();
+    let server = stats
         .server
         .as_ref()
         .map_or_else(|| "-".to_owned(), ToString::to_string);
-    let by = if trail.by_scheduler {
+    let chosen_by = if stats.by_scheduler {
         "scheduler"
     } else {
         "host"
     };
     let cause = refusal.map_or("-", |r| r.cause.name());
-    let after = refusal.and_then(|r| r.after).map_or(0, |m| m.0);
-    let time = call.deadline.since(call.arrived);
+    let retry_after = refusal.and_then(|r| r.retry_after).map_or(0, |m| m.0);
+    let time_limit = call.deadline.since(call.arrived);
     let key = call.key.map_or_else(|| "-".to_owned(), |k| k.to_string());
     log::info!(request = call.id, route = call.route.name, service:% = call.service_name(),
-        status = status.map_or(0, |s| s.as_u16()), cause = cause, retry_after_ms = after, took_ms = took.0,
-        waited_ms = trail.waited.0, aim_ms = call.route.aim.0, time_ms = time.0,
-        server = server, sends = trail.sends, chosen_by = by, key = key,
-        config = call.version; "request_{outcome}");
+        status = status.map_or(0, |s| s.as_u16()), cause = cause, retry_after_ms = retry_after,
+        took_ms = took.0, waited_ms = stats.waited.0, aim_ms = call.route.aim.0,
+        time_ms = time_limit.0, server = server, sends = stats.sends,
+        chosen_by = chosen_by, key = key, config = call.config_version; "request_{outcome}");
 }
 
-fn outcome(answer: &Response<Body>, took: Millis, aim: Millis) -> &'static str {
-    if !answer.status().is_success() {
+fn outcome(response: &Response<Body>, took: Millis, latency_target: Millis) -> &'static str {
+    if !response.status().is_success() {
         "failed"
-    } else if took > aim {
+    } else if took > latency_target {
         "late"
     } else {
         "in_time"
     }
 }
 
-/// Tells whether an ordinary request is one of the share that is logged.
-fn sampled(router: &Router, call: &Call) -> bool {
-    let share = router.options.log_ordinary;
-    let sum = call
+/// Returns whether a request that succeeded in time is in the logged sample, one in `--log-ordinary`, selected by a
+/// hash of its id. 0 logs none.
+fn is_sampled(router: &Router, call: &Call) -> bool {
+    let sample_interval = router.options.log_ordinary;
+    let hash = call
         .id
         .bytes()
         .fold(0_u32, |h, b| h.wrapping_mul(31).wrapping_add(b.into()));
-    share > 0 && sum % share == 0
+    sample_interval > 0 && hash % sample_interval == 0
 }
 
-fn unread(router: &Router, id: Option<&HeaderValue>, cause: Cause) -> Response<Body> {
+/// Refuses a request that [`Call::parse`] rejected.
+fn refuse_unparsed(router: &Router, id: Option<&HeaderValue>, cause: Cause) -> Response<Body> {
     let id = id.and_then(|v| v.to_str().ok()).unwrap_or("-");
     let version = router.site().map_or(0, |s| s.version);
     let age = router.organisations.freshness().age(router.now());
@@ -259,18 +268,18 @@
         config = version, config_age_ms = age.map_or(0, |a| a.0); "request_refused");
     let labels = ["-", cause.name()];
     router.counters.refusals.with_label_values(&labels).inc();
-    let after = match cause {
-        Cause::NoConfig => Some(NO_CONFIG_RETRY),
-        Cause::StaleConfig => Some(STALE_CONFIG_RETRY),
+    let retry_after = match cause {
+        Cause::NoConfig => Some(NO_CONFIG_RETRY_AFTER),
+        Cause::StaleConfig => Some(STALE_CONFIG_RETRY_AFTER),
         _ => None,
     };
-    Refusal { cause, after }.answer()
+    Refusal { cause, retry_after }.into_response()
 }
 
-/// Counts a request being served until it is dropped.
-struct Serving(Rc<Router>);
+/// Counts a request as being served until the guard is dropped.
+struct ServingGuard(Rc<Router>);
 
-impl Serving {
+impl ServingGuard {
     fn new(router: &Rc<Router>) -> Self {
         router.serving.set(router.serving.get() + 1);
         router.counters.serving.inc();
@@ -278,7 +287,7 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for ServingGuard {
     fn drop(&mut self) {
         self.0.serving.set(self.0.serving.get() - 1);
         self.0.counters.serving.dec();
--- a/crates/chicoryrail-router/src/route/choose.rs
+++ b/crates/chicoryrail-router/src/route/choose.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to.
+//! Chooses a request's server from what this host knows itself, without the scheduler.
 
 use std::rc::Rc;
 
@@ -13,31 +13,32 @@
 use crate::state::Service;
 use crate::state::Target;
 
-/// Where a request goes.
+/// Result of the choice of a server.
 #[derive(Debug)]
 pub(crate) enum Choice {
-    /// To this server.
+    /// Send to this server.
     Send(Rc<Target>),
-    /// Nowhere for the moment; room is expected after a time.
+    /// No server is available, for this cause; capacity is expected after this time.
     Wait(Cause, Millis),
 }
 
-/// Time after which a key that moves is expected to be granted: a release waits for the work that is
-/// running on the key.
-const KEY_MOVE_TIME: Millis = Millis(150);
+/// Time after which a key that moves is expected to be granted to its new owner: the former owner releases it
+/// only when the requests that are running on it have ended.
+const KEY_MOVE_RETRY: Millis = Millis(150);
 
-/// Time without the leader after which hosts may no longer hear each other, so that a cold server's
-/// scheduler may not be reached for good: longer than an election.
+/// Time without a message from the leader after which this host assumes a network partition, in which the scheduler of
+/// a server that warms up may stay unreachable. Longer than an election, which also interrupts these messages.
 const LEADER_SILENCE_MAX: Millis = Millis(2_500);
 
-/// Part of what a cold server bears that all hosts together may send it without a scheduler; others may reach one,
-/// which deals out the other half.
-const LONE_COLD_PART: f64 = 0.5;
+/// Share of a warming-up server's rate limit that all hosts without a scheduler may use together. Hosts that reach the
+/// scheduler may use the other half at the same time.
+const FALLBACK_WARM_UP_SHARE: f64 = 0.5;
 
-/// Time after which a service without a server that takes work is looked at again.
+/// Time after which a request may be retried when no server of the service accepts work.
 const NO_SERVER_RETRY: Millis = Millis(500);
 
-/// Chooses the server of a request; those in `tried` only where there is no other.
+/// Chooses the server of a request. Servers in `tried` are chosen only if there is no other; a key's owner is always
+/// the only choice.
 pub(crate) fn choose(
     router: &Router,
     service: &Service,
@@ -47,7 +48,7 @@
 ) -> Choice {
     match call.key {
         Some(key) => choose_owner(router, service, call, key, now),
-        None => choose_free(router, service, call, tried, now),
+        None => choose_unkeyed(router, service, call, tried, now),
     }
 }
 
@@ -55,67 +56,74 @@
     let owner = service.keys.borrow().owner(now, key);
     let life = match owner {
         KeyOwner::Held(life) => life,
-        KeyOwner::Moving => return Choice::Wait(Cause::KeyMoving, KEY_MOVE_TIME),
+        KeyOwner::Moving => return Choice::Wait(Cause::KeyMoving, KEY_MOVE_RETRY),
         KeyOwner::Nobody => return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY),
     };
     let target = service.target(&life).filter(|t| t.may_get(now));
     let Some(target) = target else {
-        return Choice::Wait(Cause::KeyMoving, KEY_MOVE_TIME);
+        return Choice::Wait(Cause::KeyMoving, KEY_MOVE_RETRY);
     };
     let work = router.work(&call.route.name, call.route.aim);
     let loads = service.loads.borrow();
-    if loads.has_room(now, target.id) && paced(router, call, &target, now) {
+    if loads.has_room(now, target.id) && take_rate_permit(router, call, &target, now) {
         return Choice::Send(target);
     }
     Choice::Wait(Cause::Full, loads.room_in(now, target.id, work))
 }
 
-fn choose_free(
+fn choose_unkeyed(
     router: &Router,
     service: &Service,
     call: &Call,
     tried: &[Life],
     now: Millis,
 ) -> Choice {
-    let open = service.open_targets(now);
-    if open.is_empty() {
+    let available = service.open_targets(now);
+    if available.is_empty() {
         return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY);
     }
     let work = router.work(&call.route.name, call.route.aim);
-    let mut fresh: Vec<_> = open.iter().filter(|t| !tried.contains(&t.life)).collect();
-    if fresh.is_empty() {
-        fresh = open.iter().collect();
+    let mut untried: Vec<_> = available
+        .iter()
+        .filter(|t| !tried.contains(&t.life))
+        .collect();
+    if untried.is_empty() {
+        untried = available.iter().collect();
     }
-    let mut ids: Vec<ServerId> = fresh.iter().map(|t| t.id).collect();
+    let mut ids: Vec<ServerId> = untried.iter().map(|t| t.id).collect();
     let loads = service.loads.borrow();
     while let Some(id) = loads.pick(now, &mut rand::rng(), &ids, work) {
-        let at = ids.iter().position(|i| *i == id).unwrap_or(0);
-        ids.swap_remove(at);
-        let target = fresh.swap_remove(at);
-        if paced(router, call, target, now) {
+        let index = ids.iter().position(|i| *i == id).unwrap_or(0);
+        ids.swap_remove(index);
+        let target = untried.swap_remove(index);
+        if take_rate_permit(router, call, target, now) {
             return Choice::Send(Rc::clone(target));
         }
     }
-    let room = open.iter().map(|t| loads.room_in(now, t.id, work)).min();
-    Choice::Wait(Cause::Full, room.unwrap_or(NO_SERVER_RETRY))
+    let free_in = available
+        .iter()
+        .map(|t| loads.room_in(now, t.id, work))
+        .min();
+    Choice::Wait(Cause::Full, free_in.unwrap_or(NO_SERVER_RETRY))
 }
 
-/// Tells whether a server may get one more request by the bounds on cold and on limited ones, and takes it.
-fn paced(router: &Router, call: &Call, target: &Target, now: Millis) -> bool {
-    // The scheduler deals out all that a limited server takes, which is too little for a part of each host.
+/// Returns `true` if the rate limits of a server that warms up or names a limit allow one more request, and counts it.
+fn take_rate_permit(router: &Router, call: &Call, target: &Target, now: Millis) -> bool {
+    // The scheduler allots the whole rate of a server that names a limit: it is too low to be divided among hosts.
     if target.limit.get().rate(now).is_some() {
         return false;
     }
     if !target.is_cold(now) {
         return true;
     }
-    // The scheduler deals out half of what a cold server bears. A host that hears the leader, but got no reply
-    // in time, leaves cold servers alone; else all such hosts together would come on top of the scheduler's.
+    // The scheduler allots half of a warming-up server's rate. A host that receives the leader's messages, but got no
+    // reply from the scheduler in time, sends such a server nothing: all such hosts together would exceed the rate
+    // beside the scheduler's share.
     if router.is_unsure_of_hosts(now) || router.peers.borrow().hears_leader(now, LEADER_SILENCE_MAX)
     {
         return false;
     }
-    let bound = router.cold_bound(call.service_name()) * LONE_COLD_PART;
+    let rate_max = router.cold_bound(call.service_name()) * FALLBACK_WARM_UP_SHARE;
     let hosts = router.peers.borrow().sharing();
-    target.cold.borrow_mut().take(now, bound, hosts)
+    target.cold.borrow_mut().take(now, rate_max, hosts)
 }
--- a/crates/chicoryrail-router/src/route/mod.rs
+++ b/crates/chicoryrail-router/src/route/mod.rs
@@ -1,16 +1,16 @@
-//! The way of a request: read, choose a server, send, answer.
+//! Handles a caller's request: parse it, choose a server, send, respond.
 
 mod admission;
-mod answer;
 mod attempts;
 mod call;
 mod caller;
 mod choose;
-mod flight;
-mod held_slot;
+mod in_flight;
 mod refusal;
+mod response_body;
 mod send;
-mod slot;
+mod slot_guard;
+mod slot_query;
 
 pub(crate) use caller::may_begin_early;
 pub(crate) use caller::serve;
--- a/crates/chicoryrail-router/src/route/refusal.rs
+++ b/crates/chicoryrail-router/src/route/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request is not served, and what the caller is told.
+//! Causes for which a request is refused, and the response to the caller.
 
 use bytes::Bytes;
 use chicoryrail_core::Millis;
@@ -10,53 +10,53 @@
 use http::header::RETRY_AFTER;
 use http::header::WWW_AUTHENTICATE;
 
-/// What a caller without a valid key is asked for.
+/// Authentication scheme that a caller without a valid API key is asked to use.
 const CHALLENGE: &str = "ApiKey";
 
-/// Why a request is not served.
+/// Cause for which a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// No configuration is known yet.
+    /// This host has no configuration yet.
     NoConfig,
-    /// No route fits.
+    /// No route matches.
     NoRoute,
-    /// The key of a keyed service is missing or no number from 0 to 65535.
+    /// The key of a keyed service is missing or not an integer from 0 to 65535.
     NoKey,
     /// The request carries no API key, or several.
     NoApiKey,
-    /// No organisation holds its API key.
+    /// Its API key belongs to no organisation.
     UnknownApiKey,
-    /// Its API key may have been taken away: this host has not heard of the newest configuration for too long.
+    /// Its API key may have been revoked: this host has not confirmed for too long that its configuration is current.
     StaleConfig,
-    /// Its organisation is beyond its limit.
+    /// Its organisation has exceeded its rate limit.
     OverQuota,
-    /// The body is longer than the limit.
+    /// The request body is longer than the limit.
     TooLarge,
-    /// The body was cut.
+    /// The request body was truncated.
     BadBody,
-    /// The body came too slowly.
+    /// The request body arrived too slowly.
     SlowBody,
-    /// The service has no server that takes work.
+    /// The service has no server that accepts work, or none could be reached.
     NoServer,
-    /// All servers that may take the request are full.
+    /// All servers that may run the request are at capacity.
     Full,
-    /// Nobody holds the key at this moment.
+    /// No server owns the key at this moment: it moves from one to another.
     KeyMoving,
-    /// No time is left, and the request was not sent.
+    /// The deadline has passed, or too little time is left, and the request was not sent.
     Late,
-    /// A server got it and gave no usable answer.
+    /// The request was sent to a server, which returned no usable response.
     Broken,
-    /// A server got it and gave no answer in time.
+    /// The request was sent to a server, which did not respond in time.
     Silent,
 }
 
 impl Cause {
-    /// Tells whether the caller is told that the request has not run.
+    /// Returns `true` if the response promises that the request has not run and never will.
     pub(crate) const fn promises_not_run(self) -> bool {
         !matches!(self, Self::Broken | Self::Silent)
     }
 
-    /// Returns the name in logs and metrics.
+    /// Returns the name in logs, metrics and the body of the response.
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Self::NoConfig => "no_config",
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Returns the status. 503, 429 and 408 promise that the request has not run and never will; 502 and
-    /// 504 promise nothing.
+    /// Returns the HTTP status. 503, 429 and 408 promise that the request has not run and never will; 502 and 504 leave
+    /// open whether it ran.
     pub(crate) const fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -100,36 +100,39 @@
     }
 }
 
-/// A refusal.
+/// A refused request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) cause: Cause,
-    /// When the caller should come back.
-    pub(crate) after: Option<Millis>,
+    /// Time after which the caller should retry, if this is known.
+    pub(crate) retry_after: Option<Millis>,
 }
 
 impl Refusal {
-    /// Builds the answer.
-    pub(crate) fn answer(self) -> Response<Body> {
+    /// Builds the response to the caller.
+    pub(crate) fn into_response(self) -> Response<Body> {
         let text = format!("{}\n", self.cause.name());
-        let mut answer = Response::new(full(Bytes::from(text)));
-        *answer.status_mut() = self.cause.status();
-        if answer.status() == StatusCode::UNAUTHORIZED {
-            let headers = answer.headers_mut();
+        let mut response = Response::new(full(Bytes::from(text)));
+        *response.status_mut() = self.cause.status();
+        if response.status() == StatusCode::UNAUTHORIZED {
+            let headers = response.headers_mut();
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static(CHALLENGE));
         }
-        if let Some(after) = self.after {
-            let seconds = format!("{:.3}", after.0 as f64 / 1_000.0);
+        if let Some(retry_after) = self.retry_after {
+            let seconds = format!("{:.3}", retry_after.0 as f64 / 1_000.0);
             if let Ok(value) = HeaderValue::try_from(seconds) {
-                answer.headers_mut().insert(RETRY_AFTER, value);
+                response.headers_mut().insert(RETRY_AFTER, value);
             }
         }
-        answer
+        response
     }
 }
 
 impl From<Cause> for Refusal {
     fn from(cause: Cause) -> Self {
-        Self { cause, after: None }
+        Self {
+            cause,
+            retry_after: None,
+        }
     }
 }
--- /dev/null
+++ b/crates/chicoryrail-router/src/route/response_body.rs
@@ -0,0 +1,126 @@
+//! Forwards the body of a server's response to the caller.
+
+use std::future::poll_fn;
+use std::io;
+use std::pin::Pin;
+use std::task::Context;
+use std::task::Poll;
+
+use bytes::Bytes;
+use bytes::BytesMut;
+use chicoryrail_core::RouteKind;
+use chicoryrail_runtime::Body;
+use chicoryrail_runtime::full;
+use hyper::body::Body as HttpBody;
+use hyper::body::Frame;
+use hyper::body::Incoming;
+use hyper::body::SizeHint;
+
+use crate::route::in_flight::InFlight;
+
+/// Bytes of a response body that are buffered before any byte is forwarded. A response that fits is known to be
+/// complete before the caller receives its first byte, and a truncated one can be retried. Longer ones are streamed.
+const BUFFER_BYTES_MAX: usize = 64 << 10;
+
+/// The same for downloads, most of whose responses are longer. Buffered bytes are forwarded only after all of them
+/// have arrived, so over slow links the times of both transfers add up for a large buffer.
+const DOWNLOAD_BUFFER_BYTES_MAX: usize = 16 << 10;
+
+/// Returns how many bytes of a response body are buffered for a kind of route.
+pub(crate) const fn buffer_limit(kind: RouteKind) -> usize {
+    match kind {
+        RouteKind::Read | RouteKind::Order => BUFFER_BYTES_MAX,
+        RouteKind::Download => DOWNLOAD_BUFFER_BYTES_MAX,
+    }
+}
+
+/// The buffered start of a response body.
+pub(crate) enum BodyStart {
+    /// The complete body.
+    Whole(Bytes),
+    /// The first bytes of a longer body, and the rest.
+    Partial(Bytes, Incoming),
+}
+
+/// Reads a response body, or the start of one that is longer than `limit` bytes.
+///
+/// # Errors
+///
+/// Returns an error if the body is truncated within its start.
+pub(crate) async fn read_start(mut body: Incoming, limit: usize) -> io::Result<BodyStart> {
+    let mut buffered = BytesMut::new();
+    while buffered.len() <= limit {
+        let frame = poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)).await;
+        match frame {
+            None => return Ok(BodyStart::Whole(buffered.freeze())),
+            Some(Err(e)) => return Err(io::Error::other(e)),
+            Some(Ok(frame)) => {
+                if let Ok(data) = frame.into_data() {
+                    buffered.extend_from_slice(&data);
+                }
+            }
+        }
+    }
+    Ok(BodyStart::Partial(buffered.freeze(), body))
+}
+
+/// Converts the start of a body into the caller's body, which ends the request in flight when it is complete.
+pub(crate) fn into_body(start: BodyStart, in_flight: InFlight, reuse: bool) -> Body {
+    match start {
+        BodyStart::Whole(bytes) => {
+            in_flight.complete(reuse);
+            full(bytes)
+        }
+        BodyStart::Partial(first, rest) => Box::pin(StreamedBody {
+            first: Some(first),
+            rest,
+            in_flight: Some((in_flight, reuse)),
+        }),
+    }
+}
+
+/// A streamed body: its buffered start, then the rest as it arrives. A truncated body ends in an error, so that the
+/// caller does not take it for a complete one.
+struct StreamedBody {
+    first: Option<Bytes>,
+    rest: Incoming,
+    in_flight: Option<(InFlight, bool)>,
+}
+
+impl HttpBody for StreamedBody {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+        if let Some(first) = self.first.take() {
+            return Poll::Ready(Some(Ok(Frame::data(first))));
+        }
+        match Pin::new(&mut self.rest).poll_frame(cx) {
+            Poll::Pending => Poll::Pending,
+            Poll::Ready(None) => {
+                if let Some((in_flight, reuse)) = self.in_flight.take() {
+                    in_flight.complete(reuse);
+                }
+                Poll::Ready(None)
+            }
+            Poll::Ready(Some(Err(e))) => {
+                self.in_flight = None;
+                Poll::Ready(Some(Err(io::Error::other(e))))
+            }
+            Poll::Ready(Some(Ok(frame))) => Poll::Ready(Some(Ok(frame))),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        let buffered = self.first.as_ref().map_or(0, Bytes::len) as u64;
+        let rest = self.rest.size_hint();
+        let mut total = SizeHint::new();
+        if let Some(exact) = rest.exact() {
+            total.set_exact(exact + buffered);
+        }
+        total
+    }
+}
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -1,4 +1,4 @@
-//! One send to one server.
+//! Sends a request to a server once.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -23,51 +23,51 @@
 use hyper::body::Incoming;
 use monoio::time::timeout;
 
-use crate::route::answer;
 use crate::route::call::Call;
-use crate::route::flight::Flight;
-use crate::route::held_slot::Slot;
+use crate::route::in_flight::InFlight;
+use crate::route::response_body;
+use crate::route::slot_guard::SlotGuard;
 use crate::state::Router;
 use crate::state::Service;
 use crate::state::Target;
 
-/// How a send ended.
-pub(crate) enum Sent {
-    /// The server's answer, whole or on its way.
+/// Outcome of a send.
+pub(crate) enum SendOutcome {
+    /// The server's response, complete or still being streamed.
     Answered(Response<Body>),
-    /// The server answered that it failed; it has run the request.
+    /// The server ran the request and responded with a server error.
     ServerError(Response<Body>),
-    /// The request certainly has not run and will not.
+    /// The request has certainly not run and never will.
     NotRun(NotRun),
-    /// The request may have run, or may still run.
-    Unknown(Unknown),
+    /// Indeterminate: the request may have run, or may still run.
+    Indeterminate(Indeterminate),
 }
 
-/// Why a request certainly has not run.
+/// Reason for which a request has certainly not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NotRun {
-    /// No connection could be made; nothing was sent.
+    /// No connection was available; nothing was sent.
     Unreachable,
-    /// The server refused it.
+    /// The server refused the request.
     Refused,
-    /// The server does not hold the key, or another server has the address.
+    /// The server does not own the key, or another server uses the address.
     Misdirected,
 }
 
-/// Why it is not known whether a request has run.
+/// Reason for which it is indeterminate whether a request has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unknown {
-    /// The connection broke.
+pub(crate) enum Indeterminate {
+    /// The connection broke before the head of the response arrived.
     Broken,
-    /// What came belongs to another request.
+    /// The response belongs to another request.
     Crossed,
-    /// What came is not the server's whole answer.
+    /// The response is truncated, or something on the way changed it.
     Spoiled,
-    /// Nothing came in time.
+    /// No response arrived in time.
     Silent,
 }
 
-impl Sent {
+impl SendOutcome {
     /// Returns the name in logs and metrics.
     pub(crate) const fn name(&self) -> &'static str {
         match self {
@@ -76,65 +76,71 @@
             Self::NotRun(NotRun::Unreachable) => "unreachable",
             Self::NotRun(NotRun::Refused) => "refused",
             Self::NotRun(NotRun::Misdirected) => "misdirected",
-            Self::Unknown(Unknown::Broken) => "broken",
-            Self::Unknown(Unknown::Crossed) => "crossed",
-            Self::Unknown(Unknown::Spoiled) => "spoiled",
-            Self::Unknown(Unknown::Silent) => "silent",
+            Self::Indeterminate(Indeterminate::Broken) => "broken",
+            Self::Indeterminate(Indeterminate::Crossed) => "crossed",
+            Self::Indeterminate(Indeterminate::Spoiled) => "spoiled",
+            Self::Indeterminate(Indeterminate::Silent) => "silent",
         }
     }
 
+    /// Returns how the send counts against the server, or `None` if it does not.
     const fn failure(&self) -> Option<Failure> {
         match self {
             Self::Answered(_) | Self::NotRun(NotRun::Misdirected) => None,
             Self::ServerError(_) => Some(Failure::Error),
             Self::NotRun(NotRun::Refused) => Some(Failure::Full),
             Self::NotRun(NotRun::Unreachable)
-            | Self::Unknown(Unknown::Broken | Unknown::Crossed | Unknown::Spoiled) => {
-                Some(Failure::Broken)
-            }
-            Self::Unknown(Unknown::Silent) => Some(Failure::Silent),
+            | Self::Indeterminate(
+                Indeterminate::Broken | Indeterminate::Crossed | Indeterminate::Spoiled,
+            ) => Some(Failure::Broken),
+            Self::Indeterminate(Indeterminate::Silent) => Some(Failure::Silent),
         }
     }
 }
 
-/// Sends a request to a server and waits for its answer, at most `limit`.
+/// Sends a request to its assigned server and waits for the response, at most for `limit`.
 pub(crate) async fn send(
     router: &Router,
     service: &Rc<Service>,
-    place: (Rc<Target>, Slot),
+    assignment: (Rc<Target>, SlotGuard),
     call: &Call,
     body: &Rc<RequestBody>,
     limit: Millis,
-) -> Sent {
-    let (target, slot) = place;
+) -> SendOutcome {
+    let (target, slot) = assignment;
     let (target, slot) = (&target, Rc::new(slot));
     let now = router.now();
-    let alone = service.loads.borrow().is_free(now, target.id);
+    let idle = service.loads.borrow().is_free(now, target.id);
     let started = Instant::now();
-    let unrun = call.trail.borrow().may_have_run == 0;
+    let not_run = call.stats.borrow().may_have_run == 0;
     let invariants = &router.process.invariants;
-    invariants.check(Invariant::OrderOnce, call.repeats() || unrun, || {
-        format!("request={} server={}", call.id, target.life)
-    });
-    let flight = Flight::new(service, target, &slot);
-    let exchange = exchange(router, service, target, call, body, flight);
+    invariants.check(
+        Invariant::OrderOnce,
+        call.is_idempotent() || not_run,
+        || format!("request={} server={}", call.id, target.life),
+    );
+    let in_flight = InFlight::new(service, target, &slot);
+    let exchange = exchange(router, service, target, call, body, in_flight);
     let sent = match timeout(limit.duration(), exchange).await {
         Ok(sent) => sent,
-        Err(_) => Sent::Unknown(Unknown::Silent),
+        Err(_) => SendOutcome::Indeterminate(Indeterminate::Silent),
     };
-    if matches!(sent, Sent::ServerError(_) | Sent::Unknown(_)) {
-        call.trail.borrow_mut().may_have_run += 1;
+    if matches!(
+        sent,
+        SendOutcome::ServerError(_) | SendOutcome::Indeterminate(_)
+    ) {
+        call.stats.borrow_mut().may_have_run += 1;
     }
     let now = router.now();
-    let us = started.elapsed().as_micros() as f64;
-    slot.note(us, sent.failure());
+    let elapsed_us = started.elapsed().as_micros() as f64;
+    slot.record_end(elapsed_us, sent.failure());
     let mut loads = service.loads.borrow_mut();
     match sent.failure() {
         None => {
             let work = router.work(&call.route.name, call.route.aim);
-            if matches!(sent, Sent::Answered(_)) {
-                loads.answered(now, target.id, us, work, alone);
-                router.worked(&call.route.name, call.route.aim, us);
+            if matches!(sent, SendOutcome::Answered(_)) {
+                loads.answered(now, target.id, elapsed_us, work, idle);
+                router.worked(&call.route.name, call.route.aim, elapsed_us);
             }
         }
         Some(failure) => loads.failed(now, target.id, failure),
@@ -144,115 +150,120 @@
     sent
 }
 
+/// Sends a request on a pooled or new connection and handles its response.
 async fn exchange(
     router: &Router,
     service: &Service,
     target: &Rc<Target>,
     call: &Call,
     body: &Rc<RequestBody>,
-    mut flight: Flight,
-) -> Sent {
+    mut in_flight: InFlight,
+) -> SendOutcome {
     let conn = match target.pool.take(target.addr).await {
         Ok(conn) => conn,
         Err(e) => {
             log::debug!(request = call.id, server:% = target.life, error:% = e; "connect");
-            return Sent::NotRun(NotRun::Unreachable);
+            return SendOutcome::NotRun(NotRun::Unreachable);
         }
     };
-    let conn = flight.bind(conn);
-    let request = request(call, target, body, router.now());
-    let answer = match conn.send.try_send_request(request).await {
-        Ok(answer) => answer,
+    let conn = in_flight.attach(conn);
+    let request = build_request(call, target, body, router.now());
+    let response = match conn.send.try_send_request(request).await {
+        Ok(response) => response,
         Err(mut error) => {
-            // Given back, the request was never written.
-            let unsent = error.take_message().is_some();
-            return if unsent {
-                Sent::NotRun(NotRun::Unreachable)
+            // The error returns the request only if it was never written.
+            let never_written = error.take_message().is_some();
+            return if never_written {
+                SendOutcome::NotRun(NotRun::Unreachable)
             } else {
-                Sent::Unknown(Unknown::Broken)
+                SendOutcome::Indeterminate(Indeterminate::Broken)
             };
         }
     };
-    take_answer(router, service, call, answer, flight).await
+    handle_response(router, service, call, response, in_flight).await
 }
 
-async fn take_answer(
+/// Checks a response, records what its headers report of the server and starts its body.
+async fn handle_response(
     router: &Router,
     service: &Service,
     call: &Call,
-    answer: Response<Incoming>,
-    flight: Flight,
-) -> Sent {
-    let (mut head, body) = answer.into_parts();
-    // A late answer to an earlier request stands where this one's is due. Whoever it belongs to, it is
-    // not this caller's, and nothing that follows on the connection can be trusted.
+    response: Response<Incoming>,
+    in_flight: InFlight,
+) -> SendOutcome {
+    let (mut head, body) = response.into_parts();
+    // A late response to an earlier request arrived in place of this one's. It must not reach this caller, and the
+    // connection is not reused, since later responses on it may be out of step as well.
     let echoed = head.headers.get(call_header::REQUEST_ID);
     if echoed.is_some_and(|id| Some(id) != call.headers.get(call_header::REQUEST_ID)) {
-        return Sent::Unknown(Unknown::Crossed);
+        return SendOutcome::Indeterminate(Indeterminate::Crossed);
     }
     router
         .reach
         .borrow_mut()
-        .answered(router.now(), &flight.target.dc);
-    hear(router, service, &flight, &head.headers);
+        .answered(router.now(), &in_flight.target.dc);
+    record_load(router, service, &in_flight, &head.headers);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        drain(body, flight).await;
-        return Sent::NotRun(NotRun::Misdirected);
+        drain(body, in_flight).await;
+        return SendOutcome::NotRun(NotRun::Misdirected);
     }
-    hear_limit(router, &flight, &head.headers);
+    record_rate_limit(router, &in_flight, &head.headers);
     if head.headers.contains_key(call_header::NOT_RUN) {
-        drain(body, flight).await;
-        return Sent::NotRun(NotRun::Refused);
+        drain(body, in_flight).await;
+        return SendOutcome::NotRun(NotRun::Refused);
     }
     let stamped = head.headers.contains_key(call_header::STAMP);
     if !stamped || echoed.is_none() || head.headers.contains_key(CONTENT_ENCODING) {
-        return Sent::Unknown(Unknown::Spoiled);
+        return SendOutcome::Indeterminate(Indeterminate::Spoiled);
     }
-    let keep = !says_close(&head.headers);
-    let start = match answer::read(body, answer::held(call.route.kind)).await {
-        Ok(start) => start,
-        Err(_) => return Sent::Unknown(Unknown::Spoiled),
-    };
+    let reuse = !says_close(&head.headers);
+    let start =
+        match response_body::read_start(body, response_body::buffer_limit(call.route.kind)).await {
+            Ok(start) => start,
+            Err(_) => return SendOutcome::Indeterminate(Indeterminate::Spoiled),
+        };
     head.headers = end_to_end(head.headers);
     head.version = http::Version::HTTP_11;
     head.extensions.clear();
-    let error = head.status.is_server_error();
-    let answer = Response::from_parts(head, answer::body(start, flight, keep));
-    if error {
-        Sent::ServerError(answer)
+    let is_server_error = head.status.is_server_error();
+    let response = Response::from_parts(head, response_body::into_body(start, in_flight, reuse));
+    if is_server_error {
+        SendOutcome::ServerError(response)
     } else {
-        Sent::Answered(answer)
+        SendOutcome::Answered(response)
     }
 }
 
-/// Reads a short unwanted body, so that the connection can be used again.
-async fn drain(body: Incoming, flight: Flight) {
-    let read = answer::read(body, answer::held(RouteKind::Read)).await;
-    if matches!(read, Ok(answer::Start::Whole(_))) {
-        flight.complete(true);
+/// Discards a short response body, so that the connection can be reused.
+async fn drain(body: Incoming, in_flight: InFlight) {
+    let read = response_body::read_start(body, response_body::buffer_limit(RouteKind::Read)).await;
+    if matches!(read, Ok(response_body::BodyStart::Whole(_))) {
+        in_flight.complete(true);
     }
 }
 
-/// Takes in what a server says of itself beside its answer.
-fn hear(router: &Router, service: &Service, flight: &Flight, headers: &HeaderMap) {
-    let (target, slot) = (&flight.target, &flight.slot);
+/// Records the load and the remaining warm-up that a server reports in its response headers.
+fn record_load(router: &Router, service: &Service, in_flight: &InFlight, headers: &HeaderMap) {
+    let (target, slot) = (&in_flight.target, &in_flight.slot);
     let now = router.now();
     if let Some(report) = call_header::text(headers, &call_header::LOAD).and_then(LoadReport::parse)
     {
-        // The request that was just answered is still counted as this host's own.
+        // The request that this response ends is still counted as one of this host's requests in flight.
         let mut loads = service.loads.borrow_mut();
         loads.heard(now, target.id, report);
-        slot.heard(report);
+        slot.record_load(report);
     }
-    let cold = call_header::text(headers, &call_header::COLD_LEFT).and_then(|t| t.parse().ok());
-    if let Some(left) = cold {
+    let warm_up_left =
+        call_header::text(headers, &call_header::COLD_LEFT).and_then(|t| t.parse().ok());
+    if let Some(left) = warm_up_left {
         target.cold_for(now, Millis(left));
     }
 }
 
-/// Takes in what a server says of the rate that it takes. Only an answer of a run tells that there is no limit.
-fn hear_limit(router: &Router, flight: &Flight, headers: &HeaderMap) {
-    let target = &flight.target;
+/// Records the rate limit that a server reports. A response without the header means that there is no limit only if
+/// the server ran the request, which its stamp shows.
+fn record_rate_limit(router: &Router, in_flight: &InFlight, headers: &HeaderMap) {
+    let target = &in_flight.target;
     let value = call_header::text(headers, &call_header::RATE_LIMIT);
     if value.is_none() && !headers.contains_key(call_header::STAMP) {
         return;
@@ -260,7 +271,7 @@
     match RateNotice::parse(value) {
         Ok(notice) => {
             target.hear_limit(router.now(), notice);
-            flight.slot.heard_rate(notice);
+            in_flight.slot.record_rate(notice);
         }
         Err(value) => {
             log::warn!(server:% = target.life, value = value; "server_limit_unreadable");
@@ -268,14 +279,20 @@
     }
 }
 
-fn request(call: &Call, target: &Target, body: &Rc<RequestBody>, now: Millis) -> Request<Body> {
+/// Builds the request to the server, with the time that is left and the server that is expected at the address.
+fn build_request(
+    call: &Call,
+    target: &Target,
+    body: &Rc<RequestBody>,
+    now: Millis,
+) -> Request<Body> {
     let mut request = Request::new(body.body());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     let mut headers = call.headers.clone();
     headers.insert(call_header::EXPECTED_SERVER, target.header.clone());
-    let left = HeaderValue::from(call.left(now).0.max(1));
-    headers.insert(call_header::TIME_LEFT, left);
+    let time_left = HeaderValue::from(call.time_left(now).0.max(1));
+    headers.insert(call_header::TIME_LEFT, time_left);
     *request.headers_mut() = headers;
     request
 }
--- a/crates/chicoryrail-router/src/route/held_slot.rs
+++ b/crates/chicoryrail-router/src/route/slot_guard.rs
@@ -1,4 +1,4 @@
-//! A slot of a server while a request holds it.
+//! Holds a server's slot until the request has ended there.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,30 +20,30 @@
 use crate::talk::SlotEnd;
 use crate::talk::SlotEndKind;
 
-/// Brings a packet to the host that schedules.
-pub(super) fn to_scheduler(router: &Rc<Router>, scheduler: SchedulerHost, packet: Packet) {
+/// Sends a packet to the scheduler, or handles it directly if this host is the scheduler.
+pub(super) fn send_to_scheduler(router: &Rc<Router>, scheduler: SchedulerHost, packet: Packet) {
     match scheduler {
         SchedulerHost::Here => scheduling::handle_packet(router, &packet, None),
         SchedulerHost::At(addr) => router.talk.post(packet, addr),
     }
 }
 
-/// A slot of a server that the scheduler gave, or that was taken without it. Dropped when the request has ended
-/// at the server, it tells the scheduler how.
+/// Holds a slot of a server, granted by the scheduler or taken without it. When it is dropped, the request has ended
+/// at the server, and the scheduler is sent a report of how it ended.
 #[derive(Debug)]
-pub(crate) struct Slot {
+pub(crate) struct SlotGuard {
     router: Rc<Router>,
     part: PartName,
     scheduler: SchedulerHost,
     server: Life,
     ticket: u64,
-    us: Cell<Option<u64>>,
+    elapsed_us: Cell<Option<u64>>,
     kind: Cell<SlotEndKind>,
     report: RefCell<Option<LoadReport>>,
     rate: Cell<Option<RateNotice>>,
 }
 
-impl Slot {
+impl SlotGuard {
     pub(super) fn new(
         router: &Rc<Router>,
         part: &PartName,
@@ -57,33 +57,37 @@
             scheduler,
             server: server.clone(),
             ticket,
-            us: Cell::new(None),
+            elapsed_us: Cell::new(None),
             kind: Cell::new(SlotEndKind::Plain),
             report: RefCell::default(),
             rate: Cell::new(None),
         }
     }
 
-    /// Takes a slot without the scheduler, which only hears of the end.
-    pub(crate) fn without(router: &Rc<Router>, service: &Service, target: &Target) -> Self {
+    /// Takes a slot without the scheduler, which is sent only the report of the end, under ticket 0.
+    pub(crate) fn without_scheduler(
+        router: &Rc<Router>,
+        service: &Service,
+        target: &Target,
+    ) -> Self {
         let part = service.part_in(&target.dc);
         let scheduler = router.target_scheduler(service, target);
         Self::new(router, &part, scheduler, 0, &target.life)
     }
 
-    /// Notes what the server said of its load.
-    pub(crate) fn heard(&self, report: LoadReport) {
+    /// Records the load that the server reported.
+    pub(crate) fn record_load(&self, report: LoadReport) {
         *self.report.borrow_mut() = Some(report);
     }
 
-    /// Notes what the server said of the rate that it takes.
-    pub(crate) fn heard_rate(&self, notice: RateNotice) {
+    /// Records the rate limit that the server reported.
+    pub(crate) fn record_rate(&self, notice: RateNotice) {
         self.rate.set(Some(notice));
     }
 
-    /// Notes how the send ended.
-    pub(crate) fn note(&self, us: f64, failure: Option<Failure>) {
-        self.us.set(Some(us as u64));
+    /// Records how the send ended, after `elapsed_us` microseconds.
+    pub(crate) fn record_end(&self, elapsed_us: f64, failure: Option<Failure>) {
+        self.elapsed_us.set(Some(elapsed_us as u64));
         self.kind.set(match failure {
             None => SlotEndKind::Plain,
             Some(Failure::Full) => SlotEndKind::Full,
@@ -94,7 +98,7 @@
     }
 }
 
-impl Drop for Slot {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let report = self
             .report
@@ -104,11 +108,11 @@
             part: self.part.clone(),
             ticket: self.ticket,
             server: self.server.clone(),
-            us: self.us.get(),
+            us: self.elapsed_us.get(),
             kind: self.kind.get(),
             report,
             rate: self.rate.get().map(SaidRate::from),
         };
-        to_scheduler(&self.router, self.scheduler, Packet::SlotEnd(end));
+        send_to_scheduler(&self.router, self.scheduler, Packet::SlotEnd(end));
     }
 }
--- /dev/null
+++ b/crates/chicoryrail-router/src/route/slot_query.rs
@@ -0,0 +1,222 @@
+//! Requests a server slot from the host that schedules it.
+//!
+//! One host schedules each part of a service, a scheduling partition; with keys, one host for each server.
+
+use std::pin::pin;
+use std::rc::Rc;
+
+use chicoryrail_core::Life;
+use chicoryrail_core::Millis;
+use chicoryrail_core::RouteKind;
+use chicoryrail_ownership::SchedulerHost;
+use monoio::time::timeout;
+use rand::seq::IteratorRandom;
+
+use crate::route::call::Call;
+use crate::route::slot_guard::SlotGuard;
+use crate::route::slot_guard::send_to_scheduler;
+use crate::state::Router;
+use crate::state::Service;
+use crate::state::Target;
+use crate::talk::Packet;
+use crate::talk::PartName;
+use crate::talk::SlotQuery;
+use crate::talk::SlotReply;
+
+/// Time after which a slot query without any reply is sent again, and time after which its scheduler counts as
+/// unreachable. For a queued query, their difference is added to [`QUEUED_POLL_INTERVAL`].
+///
+/// A query and its reply take a few milliseconds between data centres, but longer if a host has used up its CPU quota
+/// for the current period of 100 ms.
+const FIRST_REPLY_TIMEOUT: Millis = Millis(20);
+const SCHEDULER_TIMEOUT: Millis = Millis(50);
+
+/// Time after which a query that is queued at the scheduler is sent again: the reply may have been lost, or
+/// another host may have become the scheduler.
+const QUEUED_POLL_INTERVAL: Millis = Millis(120);
+
+/// The scheduler's decision about a request.
+pub(crate) enum Decision {
+    /// Send to this server, using the slot.
+    Send(Rc<Target>, SlotGuard),
+    /// Refuse; capacity is expected after this time.
+    Refuse(Millis),
+    /// Refuse: the organisation has exceeded its rate limit; a token is expected after this time.
+    OverQuota(Millis),
+    /// The scheduler did not reply in time, or it chose a server that this host can't send to.
+    Unavailable,
+}
+
+/// Requests a server slot from the scheduler and waits for its decision, also while the query is queued there.
+pub(crate) async fn request_slot(
+    router: &Rc<Router>,
+    service: &Rc<Service>,
+    call: &Call,
+    tried: &[Life],
+) -> Decision {
+    let part = initial_part(router, service);
+    let scheduler = scheduler_for(router, service, &part, call);
+    let (ticket, pending_reply) = router.asks.open(router.process.instance);
+    let mut query = PendingQuery {
+        router,
+        part,
+        overflowed: false,
+        scheduler,
+        ticket,
+        pending: true,
+    };
+    let mut last_activity = router.now();
+    let mut acknowledged = false;
+    query.send(call, tried);
+    let mut resent = false;
+    loop {
+        let seen = pending_reply.changed.count();
+        match pending_reply.take() {
+            Some(SlotReply::Send(life)) => {
+                query.pending = false;
+                call.has_quota_token.set(true);
+                let slot = SlotGuard::new(router, &query.part, query.scheduler, ticket, &life);
+                let target = service.target(&life).filter(|t| t.may_get(router.now()));
+                return match target {
+                    Some(target) => Decision::Send(target, slot),
+                    // The scheduler's view of this server is older than this host's.
+                    None => Decision::Unavailable,
+                };
+            }
+            Some(SlotReply::Refuse(after)) => {
+                query.pending = false;
+                return Decision::Refuse(Millis(after));
+            }
+            Some(SlotReply::OverQuota(after)) => {
+                query.pending = false;
+                return Decision::OverQuota(Millis(after));
+            }
+            Some(moved @ (SlotReply::Elsewhere | SlotReply::Overflow(_))) => {
+                if let SlotReply::Overflow(dc) = moved {
+                    query.part.dc = Some(dc);
+                    query.overflowed = true;
+                }
+                query.scheduler = scheduler_for(router, service, &query.part, call);
+                query.send(call, tried);
+                acknowledged = false;
+                resent = false;
+                last_activity = router.now();
+            }
+            Some(SlotReply::Waits) => {
+                acknowledged = true;
+                resent = false;
+                last_activity = router.now();
+            }
+            None => {}
+        }
+        let now = router.now();
+        if call.time_left(now) == Millis::ZERO {
+            return Decision::Refuse(Millis::ZERO);
+        }
+        let silence = now.since(last_activity);
+        let resend_after = if acknowledged {
+            QUEUED_POLL_INTERVAL
+        } else {
+            FIRST_REPLY_TIMEOUT
+        };
+        if silence >= resend_after + SCHEDULER_TIMEOUT - FIRST_REPLY_TIMEOUT {
+            if let SchedulerHost::At(addr) = query.scheduler {
+                router.peers.borrow_mut().silent(addr);
+            }
+            log::info!(request = call.id, silent_ms = silence.0, heard = acknowledged,
+                host:? = query.scheduler; "scheduler_silent");
+            return Decision::Unavailable;
+        }
+        if silence >= resend_after && !resent {
+            resent = true;
+            query.send(call, tried);
+        }
+        let next_step = if resent {
+            resend_after + SCHEDULER_TIMEOUT - FIRST_REPLY_TIMEOUT
+        } else {
+            resend_after
+        };
+        let wait = next_step.since(silence).min(call.time_left(now)) + Millis(1);
+        let changed = pin!(pending_reply.changed.after(seen));
+        let _ = timeout(wait.duration(), changed).await;
+    }
+}
+
+/// A slot query at the scheduler. If it is dropped while still pending, the scheduler is sent a cancellation.
+struct PendingQuery<'a> {
+    router: &'a Rc<Router>,
+    part: PartName,
+    /// Whether the first part had no capacity and passed the query on to another data centre.
+    overflowed: bool,
+    scheduler: SchedulerHost,
+    ticket: u64,
+    /// Whether the scheduler has not decided yet.
+    pending: bool,
+}
+
+impl PendingQuery<'_> {
+    /// Sends the query to the current scheduler.
+    fn send(&self, call: &Call, tried: &[Life]) {
+        let now = self.router.now();
+        let work = self.router.work(&call.route.name, call.route.aim);
+        let query = SlotQuery {
+            dc: self.router.boot().dc.clone(),
+            part: self.part.clone(),
+            overflows: self.overflowed,
+            ticket: self.ticket,
+            id: call.id.clone(),
+            key: call.key,
+            rank: call.priority(),
+            organisation: call.needed_quota().map(|(name, _)| name.clone()),
+            aim: (call.arrived + call.route.aim).since(now).0,
+            left: call.time_left(now).0,
+            work_us: work as u64,
+            large: call.route.kind == RouteKind::Download,
+            not: tried.to_vec(),
+        };
+        send_to_scheduler(self.router, self.scheduler, Packet::SlotQuery(query));
+    }
+}
+
+/// Returns the part of a service that is queried first: that of this host's data centre if it has ready servers,
+/// else that of a random ready server.
+fn initial_part(router: &Router, service: &Service) -> PartName {
+    let targets = service.targets.borrow();
+    let dc = router.boot().dc.clone();
+    let has_local = targets.values().any(|t| t.dc == dc && t.is_ready());
+    if has_local || !service.divided.get() {
+        return service.part_in(&dc);
+    }
+    let ready = targets.values().filter(|t| t.is_ready());
+    let chosen_dc = ready.choose(&mut rand::rng()).map_or(dc, |t| t.dc.clone());
+    service.part_in(&chosen_dc)
+}
+
+/// Returns the host that schedules the owner of the request's key, or, without a key, the given part.
+fn scheduler_for(
+    router: &Router,
+    service: &Service,
+    part: &PartName,
+    call: &Call,
+) -> SchedulerHost {
+    if part.dc.is_some() || call.key.is_none() {
+        return router.part_scheduler(part);
+    }
+    let keys = service.keys.borrow();
+    let owner = call.key.and_then(|key| keys.meant(key));
+    router.server_scheduler(service, owner)
+}
+
+impl Drop for PendingQuery<'_> {
+    fn drop(&mut self) {
+        self.router.asks.close(self.ticket);
+        if !self.pending {
+            return;
+        }
+        let packet = Packet::Leave {
+            part: self.part.clone(),
+            ticket: self.ticket,
+        };
+        send_to_scheduler(self.router, self.scheduler, packet);
+    }
+}
