--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -29,7 +29,7 @@
 /// Divisor of the latency target; the result is the longest time for which a request without a scheduler waits for a
 /// server. After that, the caller is more likely to succeed with a retry through another host, which may know of a
 /// free server.
-const FALLBACK_WAIT_DIVISOR: u64 = 4;
+const LOCAL_WAIT_DIVISOR: u64 = 4;
 
 /// Divisor of the latency target; the result is the longest time for which a request waits while its key moves to
 /// another owner. The move takes as long as the requests that are running on the key.
@@ -162,18 +162,18 @@
             if left < SEND_TIME_MIN {
                 return Err(self.refuse(Cause::Late, Millis::ZERO));
             }
-            let (cause, free_in) =
+            let (cause, capacity_in) =
                 match choose(self.router, &self.service, self.call, &self.tried, now) {
                     Choice::Send(target) => return Ok(target),
-                    Choice::Wait(cause, free_in) => (cause, free_in),
+                    Choice::Wait(cause, capacity_in) => (cause, capacity_in),
                 };
             let wait_max = match cause {
                 Cause::KeyMoving => Millis(latency_target.0 / KEY_MOVE_WAIT_DIVISOR),
-                _ => Millis(latency_target.0 / FALLBACK_WAIT_DIVISOR),
+                _ => Millis(latency_target.0 / LOCAL_WAIT_DIVISOR),
             };
             let waited = now.since(started);
             if waited >= wait_max.min(Millis(left.0 / 2)) {
-                return Err(self.refuse(cause, free_in));
+                return Err(self.refuse(cause, capacity_in));
             }
             let _ = timeout(
                 TARGET_POLL_INTERVAL.duration(),
@@ -242,7 +242,7 @@
     }
 
     /// Builds a refusal. If an earlier send may have run, its cause does not promise that the request has not run.
-    fn refuse(&self, cause: Cause, free_in: Millis) -> Refusal {
+    fn refuse(&self, cause: Cause, capacity_in: Millis) -> Refusal {
         if self.may_have_run > 0 {
             let cause = if cause == Cause::Late {
                 Cause::Silent
@@ -254,7 +254,7 @@
         let left = self.call.time_left(self.router.now());
         Refusal {
             cause,
-            retry_after: Some(return_time(&mut rand::rng(), free_in, left)),
+            retry_after: Some(return_time(&mut rand::rng(), capacity_in, left)),
         }
     }
 
--- a/crates/chicoryrail-router/src/route/choose.rs
+++ b/crates/chicoryrail-router/src/route/choose.rs
@@ -27,12 +27,12 @@
 const KEY_MOVE_RETRY: Millis = Millis(150);
 
 /// Time without a message from the leader after which this host assumes a network partition, in which the scheduler of
-/// a server that warms up may stay unreachable. Longer than an election, which also interrupts these messages.
+/// a server that is warming up may stay unreachable. Longer than an election, which also interrupts these messages.
 const LEADER_SILENCE_MAX: Millis = Millis(2_500);
 
-/// Share of a warming-up server's rate limit that all hosts without a scheduler may use together. Hosts that reach the
-/// scheduler may use the other half at the same time.
-const FALLBACK_WARM_UP_SHARE: f64 = 0.5;
+/// Fraction of the rate limit of a server that is warming up that all hosts without a scheduler may use together. Hosts
+/// that reach the scheduler may use the other half at the same time.
+const LOCAL_WARMUP_FRACTION: f64 = 0.5;
 
 /// Time after which a request may be retried when no server of the service accepts work.
 const NO_SERVER_RETRY: Millis = Millis(500);
@@ -78,17 +78,17 @@
     tried: &[Life],
     now: Millis,
 ) -> Choice {
-    let available = service.open_targets(now);
-    if available.is_empty() {
+    let accepting = service.open_targets(now);
+    if accepting.is_empty() {
         return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY);
     }
     let work = router.work(&call.route.name, call.route.aim);
-    let mut untried: Vec<_> = available
+    let mut untried: Vec<_> = accepting
         .iter()
         .filter(|t| !tried.contains(&t.life))
         .collect();
     if untried.is_empty() {
-        untried = available.iter().collect();
+        untried = accepting.iter().collect();
     }
     let mut ids: Vec<ServerId> = untried.iter().map(|t| t.id).collect();
     let loads = service.loads.borrow();
@@ -100,30 +100,30 @@
             return Choice::Send(Rc::clone(target));
         }
     }
-    let free_in = available
+    let capacity_in = accepting
         .iter()
         .map(|t| loads.room_in(now, t.id, work))
         .min();
-    Choice::Wait(Cause::Full, free_in.unwrap_or(NO_SERVER_RETRY))
+    Choice::Wait(Cause::Full, capacity_in.unwrap_or(NO_SERVER_RETRY))
 }
 
-/// Returns `true` if the rate limits of a server that warms up or names a limit allow one more request, and counts it.
+/// Returns `true` if the warm-up rate and the advertised rate limit of a server allow one more request, and counts it.
 fn take_rate_permit(router: &Router, call: &Call, target: &Target, now: Millis) -> bool {
-    // The scheduler allots the whole rate of a server that names a limit: it is too low to be divided among hosts.
+    // The scheduler distributes the whole of an advertised rate limit: it is too low to be divided among hosts.
     if target.limit.get().rate(now).is_some() {
         return false;
     }
     if !target.is_cold(now) {
         return true;
     }
-    // The scheduler allots half of a warming-up server's rate. A host that receives the leader's messages, but got no
-    // reply from the scheduler in time, sends such a server nothing: all such hosts together would exceed the rate
-    // beside the scheduler's share.
+    // The scheduler distributes half of the warm-up rate. A host that receives the leader's messages, but got no reply
+    // from the scheduler in time, sends such a server nothing: all such hosts together would exceed the rate, as
+    // the scheduler still uses its half.
     if router.is_unsure_of_hosts(now) || router.peers.borrow().hears_leader(now, LEADER_SILENCE_MAX)
     {
         return false;
     }
-    let rate_max = router.cold_bound(call.service_name()) * FALLBACK_WARM_UP_SHARE;
+    let rate_max = router.cold_bound(call.service_name()) * LOCAL_WARMUP_FRACTION;
     let hosts = router.peers.borrow().sharing();
     target.cold.borrow_mut().take(now, rate_max, hosts)
 }
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -253,14 +253,14 @@
         loads.heard(now, target.id, report);
         slot.record_load(report);
     }
-    let warm_up_left =
+    let warmup_left =
         call_header::text(headers, &call_header::COLD_LEFT).and_then(|t| t.parse().ok());
-    if let Some(left) = warm_up_left {
+    if let Some(left) = warmup_left {
         target.cold_for(now, Millis(left));
     }
 }
 
-/// Records the rate limit that a server reports. A response without the header means that there is no limit only if
+/// Records the rate limit that a server advertises. A response without the header means that there is no limit only if
 /// the server ran the request, which its stamp shows.
 fn record_rate_limit(router: &Router, in_flight: &InFlight, headers: &HeaderMap) {
     let target = &in_flight.target;
--- a/crates/chicoryrail-router/src/route/slot_guard.rs
+++ b/crates/chicoryrail-router/src/route/slot_guard.rs
@@ -80,7 +80,7 @@
         *self.report.borrow_mut() = Some(report);
     }
 
-    /// Records the rate limit that the server reported.
+    /// Records the rate limit that the server advertised.
     pub(crate) fn record_rate(&self, notice: RateNotice) {
         self.rate.set(Some(notice));
     }
--- a/crates/chicoryrail-router/tests/answers.rs
+++ b/crates/chicoryrail-router/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers and bodies on their way through a real process.
+//! Forwarding of responses and their bodies through a real router process.
 
 mod support;
 
@@ -17,31 +17,31 @@
 use support::World;
 use support::wait_until;
 
-/// A long answer arrives whole, with its length told or in chunks.
+/// Guards against a response that arrives truncated or changed, with a content length or with chunked encoding.
 #[rstest]
 #[case::fixed_length("body=300000")]
 #[case::chunked("body=300000&chunked=1")]
 #[case::empty("body=0")]
-fn an_answer_arrives_whole(#[case] query: &str) {
+fn response_arrives_complete(#[case] query: &str) {
     block_on(async {
         let world = World::start(&format!("whole-{}", query.len())).await;
         world.configure().await;
         let _server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        let answer = router.caller().get(&format!("/read/1?{query}")).await;
-        let answer = answer.unwrap();
-        assert_eq!(answer.status(), 200);
-        assert!(AnswerHead::check(answer.body()).is_some());
+        let response = router.caller().get(&format!("/read/1?{query}")).await;
+        let response = response.unwrap();
+        assert_eq!(response.status(), 200);
+        assert!(AnswerHead::check(response.body()).is_some());
     });
 }
 
-/// Two hundred callers ask for a download of 540 KB each and read nothing but its start. What is read of the servers'
-/// answers ahead of them is bounded, so the process stays within a quarter of the smallest host's 160 MB; all of
-/// it would be 108 MB.
+/// Guards against unbounded buffering for slow readers. Two hundred callers request a download of 540 KB each and do
+/// not read it. The process may buffer a quarter of the smallest host's memory of 160 MB; all of the downloads would
+/// take 108 MB.
 #[test]
-fn many_slow_readers_take_little_memory() {
+fn slow_readers_use_bounded_memory() {
     const READERS: u32 = 200;
-    const MOST_KIB: u64 = 40 << 10;
+    const GROWTH_MAX_KIB: u64 = 40 << 10;
     block_on(async {
         let world = World::start("slow-readers").await;
         world.configure().await;
@@ -80,8 +80,8 @@
         .await;
         monoio::time::sleep(Millis(500).duration()).await;
         let grown = router.memory() - before;
-        assert!(grown < MOST_KIB, "{grown} KiB");
-        // One that reads on gets the rest.
+        assert!(grown < GROWTH_MAX_KIB, "{grown} KiB");
+        // A caller that resumes reading receives the rest.
         let mut reader = readers.swap_remove(0);
         drop(readers);
         let whole = std::thread::spawn(move || {
@@ -93,12 +93,12 @@
     });
 }
 
-/// A server's answer ends early. What has reached the caller by then can't be taken back, so its connection
-/// is cut too: a short answer is never a whole one.
+/// Guards against a truncated response that the caller takes for a complete one. Bytes that were already forwarded
+/// can't be recalled, so the caller's connection must be closed early too.
 #[rstest]
 #[case::fixed_length("body=3000")]
 #[case::chunked("body=3000&chunked=1")]
-fn a_cut_answer_is_never_a_short_one(#[case] query: &str) {
+fn truncated_response_never_looks_complete(#[case] query: &str) {
     block_on(async {
         let world = World::start(&format!("cut-{}", query.len())).await;
         world.configure().await;
@@ -109,17 +109,17 @@
             share: 1.0,
             after: 200,
         });
-        let answer = router.caller().post(&format!("/order/1?{query}")).await;
-        let taken = answer.is_ok_and(|a| a.status().is_success());
-        assert!(!taken);
+        let response = router.caller().post(&format!("/order/1?{query}")).await;
+        let succeeded = response.is_ok_and(|a| a.status().is_success());
+        assert!(!succeeded);
         assert_eq!(server.runs(), 1);
     });
 }
 
-/// A server answers long after the caller's time. The caller learns in time that nothing is known, and the
-/// late answer reaches nobody: the next request on the way gets its own.
+/// Guards against a late response that reaches the caller of a later request. A server responds long after the caller's
+/// deadline: the caller must receive `504` in time, and later requests their own responses.
 #[test]
-fn a_late_answer_reaches_nobody() {
+fn late_response_reaches_no_caller() {
     block_on(async {
         let world = World::start("late").await;
         world.configure().await;
@@ -136,21 +136,21 @@
         monoio::time::sleep(Millis(200).duration()).await;
         for i in 0..5 {
             let path = format!("/read/{i}");
-            let answer = caller.get(&path).await.unwrap();
-            let head = AnswerHead::check(answer.body()).unwrap();
+            let response = caller.get(&path).await.unwrap();
+            let head = AnswerHead::check(response.body()).unwrap();
             assert_eq!(head.path, path);
         }
         monoio::time::sleep(Millis(500).duration()).await;
-        let answer = caller.get("/read/after").await.unwrap();
-        let head = AnswerHead::check(answer.body()).unwrap();
+        let response = caller.get("/read/after").await.unwrap();
+        let head = AnswerHead::check(response.body()).unwrap();
         assert_eq!(head.path, "/read/after");
     });
 }
 
-/// A caller leaves while its lookup runs. The server is told by the end of the connection, and its slot is
-/// free for others.
+/// Guards against a server that goes on working for a caller that has disconnected. The router must close its
+/// connection to the server, which cancels the read and frees its slot.
 #[test]
-fn a_caller_that_leaves_cancels_its_lookup() {
+fn disconnected_caller_cancels_its_read() {
     block_on(async {
         let world = World::start("leaves").await;
         world.configure().await;
@@ -158,22 +158,22 @@
         let router = world.router("a").await;
         let caller = router.caller();
         caller.leaves("/read/1?work_us=8000000", Millis(200)).await;
-        wait_until("the lookup is cancelled", async || {
+        wait_until("the read is cancelled", async || {
             server.ledger().cancelled > 0
         })
         .await;
         assert_eq!(server.runs(), 0);
-        wait_until("it is logged", async || {
+        wait_until("the cancellation is logged", async || {
             router.log().contains("log=request_given_up")
         })
         .await;
     });
 }
 
-/// Many callers at once, through two hosts, to one server with two slots: no more than two run and a few
-/// wait there, and nobody is refused by the server.
+/// Guards against hosts that each use all slots of a server. Many callers send through two hosts to one server with two
+/// slots: at most three requests may be at the server, queued ones included, and the server may refuse none.
 #[test]
-fn slots_are_kept_over_all_hosts() {
+fn slots_are_shared_by_all_hosts() {
     block_on(async {
         let world = World::start("slots").await;
         world.configure().await;
@@ -185,18 +185,18 @@
             let caller = routers[i % 2].caller();
             async move { caller.get("/read/1").await.unwrap().status() }
         });
-        let answers = futures_util::future::join_all(calls).await;
-        let served = answers.iter().filter(|s| **s == 200).count();
-        assert!(served >= 10, "{answers:?}");
+        let responses = futures_util::future::join_all(calls).await;
+        let served = responses.iter().filter(|s| **s == 200).count();
+        assert!(served >= 10, "{responses:?}");
         let ledger = server.ledger();
         assert_eq!(ledger.shed, 0);
         assert!(ledger.max_busy <= 3, "{}", ledger.max_busy);
     });
 }
 
-/// Hosts forbid io_uring, so no descriptor of the process may be one.
+/// Guards against a runtime that uses io_uring, which hosts forbid: no file descriptor of the process may be one.
 #[test]
-fn the_process_uses_no_io_uring() {
+fn process_uses_no_io_uring() {
     block_on(async {
         let world = World::start("uring").await;
         world.configure().await;
--- a/crates/chicoryrail-router/tests/bad_input.rs
+++ b/crates/chicoryrail-router/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input of callers: the router stays alive, bounded and well for others, and no server sees it.
+//! Malformed input: the router process survives with bounded memory, serves other callers, and forwards none of it.
 
 mod support;
 
@@ -30,17 +30,17 @@
 use support::Server;
 use support::World;
 
-/// Growth of a router's memory that the bad input of one test may cause, in KiB. Far above what pools and
-/// buffers of the connections at hand take, far below what an unbounded read would.
-const GROWTH: u64 = 64 << 10;
+/// Limit on the growth of a router's memory in one test, in KiB. It is far above what the pools and buffers of the open
+/// connections take, and far below what an unbounded read would take.
+const GROWTH_MAX_KIB: u64 = 64 << 10;
 
-struct Set {
+struct Fixture {
     _world: World,
     server: Rc<Server>,
     router: RouterProcess,
 }
 
-impl Set {
+impl Fixture {
     async fn start(test: &str) -> Self {
         let world = World::start(&format!("bad-{test}")).await;
         world.configure().await;
@@ -57,10 +57,10 @@
         self.router.callers
     }
 
-    /// Another caller's request is answered as ever, by the same process.
-    async fn is_well(&mut self) {
-        let answer = self.router.caller().get("/read/well").await.unwrap();
-        assert_eq!(answer.status(), 200);
+    /// Asserts that the same process still serves another caller's request.
+    async fn assert_healthy(&mut self) {
+        let response = self.router.caller().get("/read/well").await.unwrap();
+        assert_eq!(response.status(), 200);
         assert_eq!(self.router.ended(), None);
     }
 
@@ -69,10 +69,11 @@
     }
 }
 
-/// Sends bytes on a connection of their own, closes the sending half and returns what comes back.
+/// Sends bytes on a new connection, closes the sending half if `close` is set, and returns what arrives until the end
+/// of the stream, within 1.5 seconds.
 async fn exchange(addr: SocketAddr, bytes: &[u8], close: bool) -> Vec<u8> {
     let mut stream = monoio::net::TcpStream::connect(addr).await.unwrap();
-    // The router may answer and close before it has read all.
+    // The router may respond and close the connection before it has read all bytes.
     let _ = stream.write_all(bytes.to_vec()).await;
     if close {
         let _ = monoio::io::AsyncWriteRent::shutdown(&mut stream).await;
@@ -91,96 +92,97 @@
     all
 }
 
-/// Returns the statuses of the answers in the text.
-fn statuses(answer: &[u8]) -> Vec<u16> {
-    let text = String::from_utf8_lossy(answer).into_owned();
+/// Returns the status codes of the responses in a byte stream.
+fn statuses(response: &[u8]) -> Vec<u16> {
+    let text = String::from_utf8_lossy(response).into_owned();
     let found = text.match_indices("HTTP/1.1 ");
     found
         .filter_map(|(i, m)| text.get(i + m.len()..i + m.len() + 3)?.parse().ok())
         .collect()
 }
 
-fn head(line: &str, more: &str) -> Vec<u8> {
+fn head(line: &str, extra_headers: &str) -> Vec<u8> {
     let names = "host: shop.example\r\nchicoryrail-request-id: r1";
-    format!("{line}\r\n{names}\r\nconnection: close\r\n{more}\r\n").into_bytes()
+    format!("{line}\r\n{names}\r\nconnection: close\r\n{extra_headers}\r\n").into_bytes()
 }
 
-fn order(more: &str, body: &[u8]) -> Vec<u8> {
-    [head("POST /order/a HTTP/1.1", more), body.to_vec()].concat()
+fn order(extra_headers: &str, body: &[u8]) -> Vec<u8> {
+    [head("POST /order/a HTTP/1.1", extra_headers), body.to_vec()].concat()
 }
 
-fn flood(headers: usize) -> Vec<u8> {
+fn with_headers(headers: usize) -> Vec<u8> {
     let lines: String = (0..headers).map(|i| format!("x-{i}: 1\r\n")).collect();
     head("GET /read/a HTTP/1.1", &lines)
 }
 
-/// A broken request gets its refusal, or a closed connection, and no server runs anything of it.
+/// Guards against a malformed request that is forwarded: it must be refused, or its connection closed, and no server
+/// may run any part of it.
 #[rstest]
-#[case::no_http(b"hello\r\n\r\n".to_vec(), &[400])]
+#[case::not_http(b"hello\r\n\r\n".to_vec(), &[400])]
 #[case::nul(b"GET /read/\0 HTTP/1.1\r\nhost: x\r\n\r\n".to_vec(), &[400])]
 #[case::nul_header(head("GET /read/a HTTP/1.1", "x-a: \0\r\n"), &[400])]
 #[case::only_nuls(vec![0; 4_096], &[400])]
-#[case::bare_return_in_value(head("GET /read/a HTTP/1.1", "x: a\rb\r\n"), &[400])]
+#[case::bare_cr_in_value(head("GET /read/a HTTP/1.1", "x: a\rb\r\n"), &[400])]
 #[case::space_before_colon(head("GET /read/a HTTP/1.1", "x-a : 1\r\n"), &[400])]
 #[case::folded_header(head("GET /read/a HTTP/1.1", "x: a\r\n b\r\n"), &[400])]
 #[case::future_version(head("GET /read/a HTTP/9.9", ""), &[400])]
-#[case::http2_greeting(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec(), &[400])]
-#[case::many_headers(flood(1_000), &[431])]
+#[case::http2_preface(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec(), &[400])]
+#[case::many_headers(with_headers(1_000), &[431])]
 #[case::huge_header(head("GET /read/a HTTP/1.1", &format!("x: {}\r\n", "a".repeat(1 << 20))), &[431])]
 #[case::huge_line(head(&format!("GET /read/{} HTTP/1.1", "a".repeat(1 << 20)), ""), &[414, 431])]
-#[case::two_lengths(order("content-length: 3\r\ncontent-length: 5\r\n", b"abcde"), &[400])]
+#[case::duplicate_lengths(order("content-length: 3\r\ncontent-length: 5\r\n", b"abcde"), &[400])]
 #[case::listed_lengths(order("content-length: 3, 5\r\n", b"abcde"), &[400])]
 #[case::signed_length(order("content-length: +3\r\n", b"abc"), &[400])]
 #[case::unknown_encoding(order("transfer-encoding: zip\r\n", b"abc"), &[400])]
 #[case::chunks_then_encoding(order("transfer-encoding: chunked, zip\r\n", b"abc"), &[400])]
 #[case::bad_chunk_size(order("transfer-encoding: chunked\r\n", b"xyz\r\nabc\r\n"), &[400])]
-#[case::endless_chunk_size(order("transfer-encoding: chunked\r\n", b"ffffffffffffffffff\r\nabc\r\n"), &[400])]
-#[case::cut_chunk(order("transfer-encoding: chunked\r\n", b"ff\r\nabc"), &[400])]
-#[case::cut_body(order("content-length: 50\r\n", b"abc"), &[400])]
-#[case::cut_head(b"GET /read/a HTTP/1.1\r\nhost".to_vec(), &[400])]
+#[case::huge_chunk_size(order("transfer-encoding: chunked\r\n", b"ffffffffffffffffff\r\nabc\r\n"), &[400])]
+#[case::truncated_chunk(order("transfer-encoding: chunked\r\n", b"ff\r\nabc"), &[400])]
+#[case::truncated_body(order("content-length: 50\r\n", b"abc"), &[400])]
+#[case::truncated_head(b"GET /read/a HTTP/1.1\r\nhost".to_vec(), &[400])]
 #[case::too_long(order("content-length: 99999999999\r\n", b""), &[413])]
 #[case::connect(head("CONNECT example.org:443 HTTP/1.1", ""), &[404])]
 #[case::other_host(b"GET /read/a HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n".to_vec(), &[404])]
 #[case::asterisk(head("OPTIONS * HTTP/1.1", ""), &[404])]
-fn a_broken_request_reaches_no_server(#[case] bytes: Vec<u8>, #[case] expected: &[u16]) {
+fn malformed_request_reaches_no_server(#[case] bytes: Vec<u8>, #[case] expected: &[u16]) {
     block_on(async {
-        let mut set = Set::start("broken").await;
-        let answer = exchange(set.addr(), &bytes, true).await;
-        let seen = statuses(&answer);
+        let mut fixture = Fixture::start("broken").await;
+        let response = exchange(fixture.addr(), &bytes, true).await;
+        let seen = statuses(&response);
         let closed = seen.is_empty();
         let refused = seen.len() == 1 && expected.contains(&seen[0]);
-        assert!(closed || refused, "{}", String::from_utf8_lossy(&answer));
-        assert_eq!(set.server.runs(), 0, "{:?}", set.server.ran());
-        set.is_well().await;
+        assert!(closed || refused, "{}", String::from_utf8_lossy(&response));
+        assert_eq!(fixture.server.runs(), 0, "{:?}", fixture.server.ran());
+        fixture.assert_healthy().await;
     });
 }
 
-/// A request names a length and chunks, and bytes that look like another request follow. A balancer in
-/// front that goes by the length takes them for the body; served as a request of its own they would give
-/// the next caller behind the balancer an answer that is not its own. The chunks count, and the connection
-/// ends with the answer.
+/// Guards against request smuggling. A request has both a content length and chunked encoding, and bytes that look like
+/// another request follow. A load balancer that uses the length takes them for the body. If the router served them, the
+/// next caller behind the balancer would receive a response that is not its own. The router must use the chunked
+/// encoding and close the connection after the response.
 #[rstest]
 #[case::length_first("content-length: 4\r\ntransfer-encoding: chunked\r\n")]
 #[case::chunks_first("transfer-encoding: chunked\r\ncontent-length: 4\r\n")]
-fn a_length_beside_chunks_smuggles_nothing(#[case] framing: &str) {
+fn length_beside_chunked_encoding_smuggles_nothing(#[case] framing: &str) {
     block_on(async {
-        let mut set = Set::start("smuggle").await;
+        let mut fixture = Fixture::start("smuggle").await;
         let names = "host: shop.example\r\nchicoryrail-request-id: r1\r\n";
         let head = format!("POST /order/a HTTP/1.1\r\n{names}{framing}\r\n");
         let hidden = "0\r\n\r\nGET /read/smuggled HTTP/1.1\r\nhost: shop.example\r\n\r\n";
         let bytes = format!("{head}{hidden}");
-        let answer = exchange(set.addr(), bytes.as_bytes(), false).await;
-        assert!(statuses(&answer).len() <= 1);
-        assert!(set.server.ran().iter().all(|r| r == "r1"));
-        set.is_well().await;
+        let response = exchange(fixture.addr(), bytes.as_bytes(), false).await;
+        assert!(statuses(&response).len() <= 1);
+        assert!(fixture.server.ran().iter().all(|r| r == "r1"));
+        fixture.assert_healthy().await;
     });
 }
 
-/// Requests that arrive in one packet get their own answers, in their order.
+/// Guards against responses that are swapped or out of order when many requests arrive in one write.
 #[test]
-fn pipelined_requests_get_their_own_answers() {
+fn pipelined_requests_get_their_own_responses() {
     block_on(async {
-        let mut set = Set::start("pipeline").await;
+        let mut fixture = Fixture::start("pipeline").await;
         let mut bytes = Vec::new();
         for i in 0..20 {
             let last = if i == 19 { "connection: close\r\n" } else { "" };
@@ -188,8 +190,8 @@
             let text = format!("GET /read/p{i} HTTP/1.1\r\n{names}{last}\r\n");
             bytes.extend_from_slice(text.as_bytes());
         }
-        let answer = exchange(set.addr(), &bytes, false).await;
-        let text = String::from_utf8_lossy(&answer).into_owned();
+        let response = exchange(fixture.addr(), &bytes, false).await;
+        let text = String::from_utf8_lossy(&response).into_owned();
         let paths = text.match_indices("\"path\":\"/read/p");
         let seen: Vec<usize> = paths
             .map(|(i, m)| {
@@ -198,18 +200,18 @@
             })
             .collect();
         assert_eq!(seen, (0..20).collect::<Vec<_>>(), "{text}");
-        set.is_well().await;
+        fixture.assert_healthy().await;
     });
 }
 
-/// Callers that send a byte of their heads now and then hold no place for long: the bound on the head's
-/// time ends them, and others are served all the while.
+/// Guards against callers that occupy connections by sending their request heads a byte at a time. The header timeout
+/// must close these connections, and other callers must be served meanwhile.
 #[test]
 fn slow_connections_are_closed() {
     block_on(async {
-        let mut set = Set::start("slow").await;
-        let addr = set.addr();
-        let before = set.memory();
+        let mut fixture = Fixture::start("slow").await;
+        let addr = fixture.addr();
+        let before = fixture.memory();
         let mut slow: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(addr).unwrap()).collect();
         for byte in b"GET /read/slow HT" {
             for stream in &mut slow {
@@ -217,24 +219,25 @@
             }
             monoio::time::sleep(Duration::from_millis(50)).await;
         }
-        set.is_well().await;
+        fixture.assert_healthy().await;
         for stream in &mut slow {
             let limit = Some(Duration::from_secs(10));
             stream.set_read_timeout(limit).unwrap();
-            let mut answer = Vec::new();
-            // The end of the stream, or a reset; a timeout would be neither.
-            let ended = stream.read_to_end(&mut answer);
+            let mut response = Vec::new();
+            // The end of the stream and a reset both show that it was closed; a read timeout shows that it is still
+            // open.
+            let ended = stream.read_to_end(&mut response);
             let waits = ended.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
             assert!(!waits, "a slow connection is still open");
         }
-        assert_eq!(set.server.runs(), 1);
-        let grown = set.memory().saturating_sub(before);
-        assert!(grown < GROWTH, "{grown} KiB");
+        assert_eq!(fixture.server.runs(), 1);
+        let grown = fixture.memory().saturating_sub(before);
+        assert!(grown < GROWTH_MAX_KIB, "{grown} KiB");
     });
 }
 
-/// Draws the inputs first: the sockets are asynchronous, the runner is not.
-fn drawn<S: Strategy<Value = Vec<u8>>>(cases: u32, strategy: &S) -> Vec<Vec<u8>> {
+/// Generates all inputs up front from a fixed seed: the sockets are asynchronous, the test runner is not.
+fn generate_inputs<S: Strategy<Value = Vec<u8>>>(cases: u32, strategy: &S) -> Vec<Vec<u8>> {
     let config = Config {
         cases,
         failure_persistence: None,
@@ -247,7 +250,8 @@
         .collect()
 }
 
-fn mangled(seed: &'static [u8]) -> impl Strategy<Value = Vec<u8>> {
+/// Overwrites up to five bytes of a valid request and truncates it to no less than half its length.
+fn mutated(seed: &'static [u8]) -> impl Strategy<Value = Vec<u8>> {
     let edits = vec((0..seed.len(), any::<u8>()), 1..6);
     (edits, 1..=seed.len()).prop_map(move |(edits, keep)| {
         let mut bytes = seed.to_vec();
@@ -259,65 +263,66 @@
     })
 }
 
-const ORDER: &[u8] =
+const VALID_ORDER: &[u8] =
     b"POST /order/a HTTP/1.1\r\nhost: shop.example\r\nchicoryrail-request-id: r1\r\n\
     connection: close\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 
-/// Arbitrary bytes, and near misses of a valid request: the process lives, its memory is bounded, and
-/// another caller gets its answer between them.
+/// Guards against arbitrary bytes, or mutations of a valid request, that end the process, grow its memory without bound
+/// or keep another caller from being served between them.
 #[test]
-fn arbitrary_bytes_harm_nobody() {
+fn arbitrary_bytes_do_not_affect_other_callers() {
     block_on(async {
-        let mut set = Set::start("fuzz").await;
-        let before = set.memory();
-        let mut inputs = drawn(60, &vec(any::<u8>(), 0..2_000));
-        inputs.extend(drawn(60, &mangled(ORDER)));
+        let mut fixture = Fixture::start("fuzz").await;
+        let before = fixture.memory();
+        let mut inputs = generate_inputs(60, &vec(any::<u8>(), 0..2_000));
+        inputs.extend(generate_inputs(60, &mutated(VALID_ORDER)));
         for (i, input) in inputs.iter().enumerate() {
-            exchange(set.addr(), input, true).await;
+            exchange(fixture.addr(), input, true).await;
             if i % 20 == 0 {
-                set.is_well().await;
+                fixture.assert_healthy().await;
             }
         }
-        set.is_well().await;
-        let grown = set.memory().saturating_sub(before);
-        assert!(grown < GROWTH, "{grown} KiB");
+        fixture.assert_healthy().await;
+        let grown = fixture.memory().saturating_sub(before);
+        assert!(grown < GROWTH_MAX_KIB, "{grown} KiB");
     });
 }
 
-/// Arbitrary datagrams at the port of the talk between hosts harm nobody.
+/// Guards against arbitrary datagrams, at the port for messages between hosts, that end the process.
 #[test]
-fn arbitrary_datagrams_harm_nobody() {
+fn arbitrary_datagrams_do_not_affect_callers() {
     block_on(async {
-        let mut set = Set::start("datagrams").await;
+        let mut fixture = Fixture::start("datagrams").await;
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-        for input in drawn(300, &vec(any::<u8>(), 0..1_200)) {
-            socket.send_to(&input, set.router.talk).unwrap();
+        for input in generate_inputs(300, &vec(any::<u8>(), 0..1_200)) {
+            socket.send_to(&input, fixture.router.talk).unwrap();
         }
-        set.is_well().await;
+        fixture.assert_healthy().await;
     });
 }
 
-/// The start of a list, or of a text, that claims to be as long as a number can say.
-const ENDLESS: [u8; 9] = [0xfd, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff];
+/// Length prefix of an encoded list or text, with the largest value that it can have.
+const MAX_LENGTH_PREFIX: [u8; 9] = [0xfd, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff];
 
-/// A datagram between hosts, and a request of a host that would follow this one, claim an endless list or name. Taken
-/// at that, the process would ask for all memory and die, and with it its callers' requests; both are refused unread.
+/// Guards against memory that is allocated by a claimed length. A datagram between hosts, and a request of a host that
+/// would follow this one, claim a list or name of the largest length. Allocating it would end the process and fail its
+/// callers' requests, so both must be refused before the claimed content is read.
 #[test]
-fn endless_lists_between_hosts_harm_nobody() {
+fn oversized_lengths_between_hosts_are_refused() {
     block_on(async {
-        let mut set = Set::start("endless").await;
+        let mut fixture = Fixture::start("endless").await;
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
         for kind in 0..8 {
-            let input = [&[kind][..], &ENDLESS].concat();
-            socket.send_to(&input, set.router.talk).unwrap();
+            let input = [&[kind][..], &MAX_LENGTH_PREFIX].concat();
+            socket.send_to(&input, fixture.router.talk).unwrap();
         }
         let client = HttpClient::default();
-        for body in [&ENDLESS[..], b"", b"no request"] {
+        for body in [&MAX_LENGTH_PREFIX[..], b"", b"no request"] {
             let request = Request::post("/relay").body(Bytes::copy_from_slice(body));
-            let call = client.call(set.router.talk, request.unwrap(), Millis(2_000));
-            let answer = call.await;
-            assert_eq!(answer.unwrap().status(), 400);
+            let call = client.call(fixture.router.talk, request.unwrap(), Millis(2_000));
+            let response = call.await;
+            assert_eq!(response.unwrap().status(), 400);
         }
-        set.is_well().await;
+        fixture.assert_healthy().await;
     });
 }
--- a/crates/chicoryrail-router/tests/callers.rs
+++ b/crates/chicoryrail-router/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers get from a real process, whatever a server does.
+//! Responses that callers receive from a real router process while its servers work or fail.
 
 mod support;
 
@@ -14,32 +14,33 @@
 use support::World;
 use support::wait_until;
 
+/// Guards against requests that reach no server, and responses that are changed on their way to the caller.
 #[test]
-fn a_request_reaches_a_server_and_its_answer_comes_back_whole() {
+fn request_reaches_a_server_and_its_response_is_forwarded() {
     block_on(async {
         let world = World::start("calm").await;
         world.configure().await;
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
         let caller = router.caller();
-        let answer = caller.get("/read/1").await.unwrap();
-        assert_eq!(answer.status(), 200);
-        assert_eq!(answer.headers()[call_header::STAMP], "stamp");
-        assert_eq!(AnswerHead::check(answer.body()).unwrap().server, "i-1");
+        let response = caller.get("/read/1").await.unwrap();
+        assert_eq!(response.status(), 200);
+        assert_eq!(response.headers()[call_header::STAMP], "stamp");
+        assert_eq!(AnswerHead::check(response.body()).unwrap().server, "i-1");
         assert_eq!(caller.post("/order/1").await.unwrap().status(), 200);
         assert_eq!(caller.get("/none/1").await.unwrap().status(), 404);
         assert_eq!(server.ran(), ["a-1-1", "a-1-2"]);
     });
 }
 
-/// A host that knows no configuration yet must not say that a route is not there: it says that it has not
-/// run the request, and the balancer sends no callers.
+/// Guards against a host without a configuration that reports a route as missing. It must refuse with `503`, which
+/// promises that the request has not run, and must not be ready, so that the load balancer sends it no callers.
 #[test]
-fn a_host_without_configuration_says_not_run() {
+fn host_without_configuration_refuses_with_503() {
     block_on(async {
         let world = World::start("empty").await;
         let router = world.spawn("a");
-        wait_until("it listens", async || {
+        wait_until("the router listens", async || {
             router.caller().get("/read/1").await.is_ok()
         })
         .await;
@@ -48,9 +49,9 @@
     });
 }
 
-/// The caller sends an order or a read, and the server does something else than answering it. The caller
-/// learns the truth: `503` only where the request has not run, the server's own answer where there is
-/// one, `502` where nothing is known; and an order never reaches a second server after it may have run.
+/// Guards against a status that makes a false promise when the servers refuse, fail or spoil the response to an order
+/// or a read: `503` only if the request has not run, the server's own response if there is one, `502` if the outcome
+/// is indeterminate. An order that may have run must never be sent to a second server.
 #[rstest]
 #[case::refused_order(Mode::Refuse, "order", 503, 0)]
 #[case::refused_read(Mode::Refuse, "read", 503, 0)]
@@ -62,7 +63,7 @@
 #[case::crossed_read(Mode::Cross, "read", 502, 2)]
 #[case::unmarked_order(Mode::Unmarked, "order", 502, 1)]
 #[case::unmarked_read(Mode::Unmarked, "read", 502, 2)]
-fn a_caller_learns_the_truth(
+fn status_tells_whether_a_request_ran(
     #[case] mode: Mode,
     #[case] kind: &str,
     #[case] status: u16,
@@ -76,51 +77,52 @@
             world.server("i-2", "desk").await,
         ];
         let router = world.router("a").await;
-        // The first answer of a server has none before it to be crossed with.
+        // A server's first response has no earlier one that it could be swapped with.
         for server in &servers {
             server.ask_directly().await;
         }
         let before: usize = servers.iter().map(|s| s.runs()).sum();
         servers.iter().for_each(|s| s.does(mode));
         let caller = router.caller();
-        let answer = match kind {
+        let response = match kind {
             "order" => caller.post("/order/1").await.unwrap(),
             _ => caller.get("/read/1").await.unwrap(),
         };
-        assert_eq!(answer.status(), status);
+        assert_eq!(response.status(), status);
         let ran: usize = servers.iter().map(|s| s.runs()).sum();
         assert_eq!(ran - before, runs);
-        let marked = answer.headers().contains_key(call_header::STAMP);
+        let marked = response.headers().contains_key(call_header::STAMP);
         assert_eq!(marked, mode == Mode::Fail);
     });
 }
 
-/// A read whose first server lost the answer is answered by the second.
+/// Guards against a read that fails although another server could run it. One of two servers closes the connection
+/// instead of responding.
 #[test]
-fn a_read_goes_to_another_server_when_an_answer_is_lost() {
+fn read_is_retried_on_another_server_when_its_response_is_lost() {
     block_on(async {
         let world = World::start("other").await;
         world.configure().await;
-        let lossy = world.server("i-1", "desk").await;
-        let sound = world.server("i-2", "desk").await;
+        let failing = world.server("i-1", "desk").await;
+        let healthy = world.server("i-2", "desk").await;
         let router = world.router("a").await;
-        lossy.does(Mode::LoseAnswer);
+        failing.does(Mode::LoseAnswer);
         for _ in 0..10 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
-        assert_eq!(sound.runs(), 10);
+        assert_eq!(healthy.runs(), 10);
     });
 }
 
-/// A warm server reports, under the same start, that it has become cold again. From then on the hosts
-/// together keep to a part of what a cold server bears; the rest is refused at once, with a time to return.
+/// Guards against hosts that go on at full rate when a warm server reports, without a restart, that it warms up again.
+/// The hosts together must stay within the warm-up rate limit, and refuse the rest at once with `retry-after`.
 #[test]
-fn a_server_that_became_cold_again_gets_little() {
+fn server_that_warms_up_again_receives_a_limited_rate() {
     block_on(async {
         let world = World::start("cold").await;
         world.configure().await;
-        // 5 a second times 1.5 and 5 more is what the server bears from all hosts together; the scheduler uses
-        // a part of it, and the rest is for hosts that can't reach the scheduler.
+        // The server's warm-up rate limit is 5 requests a second times 1.5, plus 5, from all hosts together. The
+        // scheduler uses a share of it; the rest is reserved for hosts that can't reach the scheduler.
         let server = world
             .server_with(TargetOptions {
                 service: "desk".into(),
@@ -129,8 +131,8 @@
             })
             .await;
         let router = world.router("a").await;
-        // A scheduler that took over a moment ago does not know what was sent before, and gives nothing.
-        wait_until("the desk is open", async || {
+        // A scheduler that has just taken over does not know what was sent before, and grants no slots.
+        wait_until("the router leads", async || {
             router.log().contains("log=leader_won")
         })
         .await;
@@ -144,13 +146,13 @@
         let clock = Clock::start();
         let (mut answered, mut refused) = (0, 0);
         while clock.now() < Millis(1_900) {
-            let answer = router
+            let response = router
                 .caller()
                 .call("GET", "/read/1", None, 100)
                 .await
                 .unwrap();
-            if answer.status() == 503 {
-                assert!(answer.headers().contains_key("retry-after"));
+            if response.status() == 503 {
+                assert!(response.headers().contains_key("retry-after"));
                 refused += 1;
             } else {
                 answered += 1;
--- a/crates/chicoryrail-router/tests/limited_servers.rs
+++ b/crates/chicoryrail-router/tests/limited_servers.rs
@@ -1,4 +1,4 @@
-//! Servers whose answers name how many requests a second they take.
+//! Servers whose responses advertise a rate limit.
 
 mod support;
 
@@ -15,65 +15,66 @@
 use support::World;
 use support::wait_until;
 
-/// Requests a second that a server in need names.
-const RATE: f64 = 3.0;
+/// Rate limit that a server advertises, in requests per second.
+const LIMIT_PER_S: f64 = 3.0;
 
-/// Time after a server first named its limit from which on it is kept.
-const SETTLE: Millis = Millis(3_000);
+/// Time after which a newly advertised rate limit must be in force.
+const ENFORCEMENT_DELAY: Millis = Millis(3_000);
 
-/// Time between two requests of one host's callers.
-const PAUSE: Millis = Millis(100);
+/// Time between two requests of a caller.
+const REQUEST_INTERVAL: Millis = Millis(100);
 
-fn name_limit(server: &Server, length: Millis) {
+/// Makes a server advertise a rate limit for `length`.
+fn advertise_limit(server: &Server, length: Millis) {
     server.fault(TargetFault::NameLimit {
         for_ms: length.0,
-        rate: RATE,
+        rate: LIMIT_PER_S,
     });
 }
 
-/// Requests of a caller.
+/// Counts of a caller's requests.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pressed {
-    asked: usize,
+struct RequestCounts {
+    sent: usize,
     served: usize,
 }
 
-fn sum(all: &[Pressed]) -> Pressed {
-    Pressed {
-        asked: all.iter().map(|p| p.asked).sum(),
+fn sum(all: &[RequestCounts]) -> RequestCounts {
+    RequestCounts {
+        sent: all.iter().map(|p| p.sent).sum(),
         served: all.iter().map(|p| p.served).sum(),
     }
 }
 
-/// Asks for keys one after the other for a time.
-async fn press(router: &RouterProcess, length: Millis) -> Pressed {
+/// Sends requests for successive keys to a router for `length`.
+async fn send_requests(router: &RouterProcess, length: Millis) -> RequestCounts {
     let clock = Clock::start();
-    let mut pressed = Pressed::default();
+    let mut counts = RequestCounts::default();
     let mut key = 0;
     while clock.now() < length {
         key = (key + 4_099) % 65_536;
-        let answer = router.caller().key(key as u16).await.unwrap();
-        pressed.asked += 1;
-        pressed.served += usize::from(answer.status() == 200);
-        monoio::time::sleep(PAUSE.duration()).await;
+        let response = router.caller().key(key as u16).await.unwrap();
+        counts.sent += 1;
+        counts.served += usize::from(response.status() == 200);
+        monoio::time::sleep(REQUEST_INTERVAL.duration()).await;
     }
-    pressed
+    counts
 }
 
-/// Hosts and servers of the keyed service; the store lives as long as they do.
+/// Router processes and the servers of the keyed service. The store runs until this value is dropped.
 struct Fleet {
     routers: Vec<RouterProcess>,
     servers: Vec<Rc<Server>>,
     _world: World,
 }
 
-/// Starts hosts and servers, and waits until all keys are served.
+/// Starts router processes and servers, and waits until each router serves a low and a high key.
 async fn start(test: &str, hosts: usize, servers: usize) -> Fleet {
     let world = World::start(test).await;
     world.configure().await;
-    let mut all = Vec::new();
+    let mut started = Vec::new();
     for i in 0..servers {
-        all.push(world.server(&format!("k-{i}"), "kits").await);
+        started.push(world.server(&format!("k-{i}"), "kits").await);
     }
     let mut routers = Vec::new();
     for i in 0..hosts {
@@ -89,65 +90,89 @@
     }
     Fleet {
         routers,
-        servers: all,
+        servers: started,
         _world: world,
     }
 }
 
-/// A server in need is given what each host sends as if nothing was said.
+/// Guards against hosts that ignore a server's rate limit, or each use all of it. Three hosts together must stay within
+/// the limit of one server and use at least 70% of it.
 #[test]
-fn a_server_that_names_a_limit_gets_no_more_over_all_hosts() {
+fn rate_limit_holds_across_all_hosts() {
     block_on(async {
         let fleet = start("limit-hosts", 3, 1).await;
         let server = &fleet.servers[0];
-        name_limit(server, Millis(60_000));
-        join_all(fleet.routers.iter().map(|r| press(r, SETTLE))).await;
-        let served = join_all(fleet.routers.iter().map(|r| press(r, Millis(6_000)))).await;
+        advertise_limit(server, Millis(60_000));
+        join_all(
+            fleet
+                .routers
+                .iter()
+                .map(|r| send_requests(r, ENFORCEMENT_DELAY)),
+        )
+        .await;
+        let served = join_all(
+            fleet
+                .routers
+                .iter()
+                .map(|r| send_requests(r, Millis(6_000))),
+        )
+        .await;
         assert_eq!(server.ledger().limit_overruns, []);
         let served = sum(&served).served;
-        assert!(served >= (6.0 * RATE * 0.7) as usize, "{served} served");
+        assert!(
+            served >= (6.0 * LIMIT_PER_S * 0.7) as usize,
+            "{served} served"
+        );
     });
 }
 
-/// Hosts that lost the scheduler of a limited server go by what they see themselves, and send it as much as they like.
+/// Guards against a host that exceeds a server's rate limit because it lost the scheduler and chooses servers from what
+/// it knows itself. Two of three hosts are killed.
 #[test]
-fn a_limited_server_is_spared_while_its_scheduler_is_lost() {
+fn rate_limit_holds_while_the_scheduler_is_lost() {
     block_on(async {
         let fleet = start("limit-lost", 3, 1).await;
         let server = &fleet.servers[0];
-        name_limit(server, Millis(60_000));
-        join_all(fleet.routers.iter().map(|r| press(r, SETTLE))).await;
+        advertise_limit(server, Millis(60_000));
+        join_all(
+            fleet
+                .routers
+                .iter()
+                .map(|r| send_requests(r, ENFORCEMENT_DELAY)),
+        )
+        .await;
         for host in &fleet.routers[..2] {
             host.signal(Signal::SIGKILL);
         }
-        press(&fleet.routers[2], Millis(6_000)).await;
+        send_requests(&fleet.routers[2], Millis(6_000)).await;
         assert_eq!(server.ledger().limit_overruns, []);
     });
 }
 
-/// A limited server keeps its keys, and their callers are refused beside servers that have room.
+/// Guards against a rate-limited server that keeps its keys: their callers would be refused although other servers have
+/// free capacity.
 #[test]
-fn keys_of_a_limited_server_go_to_others() {
+fn keys_of_a_limited_server_move_to_others() {
     block_on(async {
         let fleet = start("limit-keys", 2, 3).await;
-        name_limit(&fleet.servers[0], Millis(60_000));
-        // So many that the leader sees which keys they ask for.
+        advertise_limit(&fleet.servers[0], Millis(60_000));
+        // Enough callers for the leader to see which keys are requested.
         let callers: Vec<_> = fleet.routers.iter().cycle().take(12).collect();
-        join_all(callers.iter().map(|r| press(r, Millis(5_000)))).await;
-        let pressed = join_all(callers.iter().map(|r| press(r, Millis(4_000)))).await;
-        let pressed = sum(&pressed);
-        assert!(pressed.served * 10 >= pressed.asked * 9, "{pressed:?}");
+        join_all(callers.iter().map(|r| send_requests(r, Millis(5_000)))).await;
+        let counts = join_all(callers.iter().map(|r| send_requests(r, Millis(4_000)))).await;
+        let counts = sum(&counts);
+        assert!(counts.served * 10 >= counts.sent * 9, "{counts:?}");
     });
 }
 
-/// A server that no longer names a limit gets what it was spared for good.
+/// Guards against a rate limit that stays in force after the server no longer advertises it.
 #[test]
-fn a_limit_ends_when_answers_no_longer_name_it() {
+fn rate_limit_ends_when_no_longer_advertised() {
     block_on(async {
         let fleet = start("limit-ends", 1, 1).await;
-        name_limit(&fleet.servers[0], Millis(2_000));
-        press(&fleet.routers[0], Millis(6_000)).await;
-        let served = press(&fleet.routers[0], Millis(2_000)).await.served;
+        advertise_limit(&fleet.servers[0], Millis(2_000));
+        send_requests(&fleet.routers[0], Millis(6_000)).await;
+        let served = send_requests(&fleet.routers[0], Millis(2_000)).await.served;
         assert!(served >= 15, "{served} served");
         let log = fleet.routers[0].log();
         assert!(log.contains("from=Some(3.0) to=None"), "{log}");
--- a/crates/chicoryrail-router/tests/pipelined.rs
+++ b/crates/chicoryrail-router/tests/pipelined.rs
@@ -1,4 +1,4 @@
-//! Callers that send several requests before the first answer, at a real process.
+//! Pipelining: callers that send several requests to a real router process before the first response.
 
 mod support;
 
@@ -18,17 +18,17 @@
 use support::Mode;
 use support::World;
 
-/// Work of a request; two slots serve two at a time.
+/// Service time of a request. A server has two slots, so it runs two at a time.
 const WORK: Millis = Millis(150);
 
-/// One answer as the caller sees it.
+/// Status and request id of one response, as the caller receives them.
 #[derive(Debug, PartialEq, Eq)]
-struct Answer {
+struct Response {
     status: String,
     id: String,
 }
 
-/// Sends requests in one go on one connection and returns what comes back, in order.
+/// A connection on which several requests are sent in one write, and which returns their responses in order.
 struct Caller(TcpStream);
 
 impl Caller {
@@ -47,54 +47,54 @@
         Self(stream)
     }
 
-    async fn answers(mut self, count: usize) -> Vec<Answer> {
+    async fn responses(mut self, count: usize) -> Vec<Response> {
         let mut text = String::new();
         loop {
-            let answers = parse(&text);
-            if answers.len() >= count {
-                return answers;
+            let responses = parse(&text);
+            if responses.len() >= count {
+                return responses;
             }
             let read = self.0.read(vec![0; 16 << 10]);
             match timeout(Duration::from_secs(5), read).await.unwrap() {
                 (Ok(length), part) if length > 0 => {
                     text += &String::from_utf8_lossy(&part[..length]);
                 }
-                _ => return answers,
+                _ => return responses,
             }
         }
     }
 }
 
-fn parse(text: &str) -> Vec<Answer> {
+fn parse(text: &str) -> Vec<Response> {
     let heads = text.split("HTTP/1.1 ").skip(1);
     let whole = heads.filter(|head| head.contains("\r\n\r\n"));
-    let answer = |head: &str| {
+    let response = |head: &str| {
         let name = "chicoryrail-request-id: ";
         let id = head.split_once(name).map_or("", |(_, rest)| rest);
-        Answer {
+        Response {
             status: head[..3].to_owned(),
             id: id.lines().next().unwrap_or_default().to_owned(),
         }
     };
-    whole.map(answer).collect()
+    whole.map(response).collect()
 }
 
-fn answered(ids: &[&str], status: &str) -> Vec<Answer> {
-    let answer = |id: &&str| Answer {
+fn expected_responses(ids: &[&str], status: &str) -> Vec<Response> {
+    let response = |id: &&str| Response {
         status: status.to_owned(),
         id: (*id).to_owned(),
     };
-    ids.iter().map(answer).collect()
+    ids.iter().map(response).collect()
 }
 
-/// A caller sends four lookups at once to two free servers. All run at the same time; each answer is the caller's own,
-/// in the order of the requests, whatever happens to the process meanwhile: its settings are read again, a
-/// new configuration comes into force, or it is told to stop.
+/// Guards against pipelined reads that run one after the other, or whose responses are lost or out of order. Four reads
+/// must run at the same time on two idle servers, also while the process applies a new configuration, reloads its
+/// settings or stops.
 #[rstest]
 #[case::calm(None)]
 #[case::reload(Some(Signal::SIGHUP))]
 #[case::stop(Some(Signal::SIGTERM))]
-fn lookups_of_one_connection_run_side_by_side(#[case] signal: Option<Signal>) {
+fn pipelined_reads_run_concurrently(#[case] signal: Option<Signal>) {
     block_on(async {
         let world = World::start("side-by-side").await;
         world.configure().await;
@@ -113,8 +113,11 @@
         if let Some(signal) = signal {
             router.signal(signal);
         }
-        let answers = caller.answers(4).await;
-        assert_eq!(answers, answered(&["p-1", "p-2", "p-3", "p-4"], "200"));
+        let responses = caller.responses(4).await;
+        assert_eq!(
+            responses,
+            expected_responses(&["p-1", "p-2", "p-3", "p-4"], "200")
+        );
         let took = clock.now();
         assert!(took < WORK + WORK, "{took:?}");
         let runs: usize = servers.iter().map(|s| s.runs()).sum();
@@ -122,10 +125,11 @@
     });
 }
 
-/// The servers close the connection of each request that they ran. The caller is told so for each lookup, in order,
-/// and the connection goes on.
+/// Guards against errors that are reported out of order or end the caller's connection. The server closes the
+/// connection of each request that it ran: each read must get its own `502`, and the next request on the connection
+/// its response.
 #[test]
-fn lost_answers_are_told_in_order() {
+fn lost_responses_are_reported_in_order() {
     block_on(async {
         let world = World::start("lost-in-order").await;
         world.configure().await;
@@ -134,16 +138,16 @@
         server.does(Mode::LoseAnswer);
         let line = "GET /read/1";
         let sent = [("p-1", line), ("p-2", line), ("p-3", "GET /none/1")];
-        let answers = Caller::send(router.callers, &sent).await.answers(3).await;
-        assert_eq!(answers[..2], answered(&["p-1", "p-2"], "502"));
-        assert_eq!(answers[2..], answered(&["p-3"], "404"));
+        let responses = Caller::send(router.callers, &sent).await.responses(3).await;
+        assert_eq!(responses[..2], expected_responses(&["p-1", "p-2"], "502"));
+        assert_eq!(responses[2..], expected_responses(&["p-3"], "404"));
     });
 }
 
-/// An order stands between two lookups. It reaches its server when the lookup in front of it is answered, and the
-/// lookup behind it after that; each runs once.
+/// Guards against a pipelined order that runs before its turn. An order between two reads must reach the server only
+/// after the response to the first read, and the second read after that; each runs once.
 #[test]
-fn an_order_begins_when_its_turn_comes() {
+fn pipelined_order_starts_in_its_turn() {
     block_on(async {
         let world = World::start("order-between").await;
         world.configure().await;
@@ -155,8 +159,8 @@
             ("p-2", "POST /order/1"),
             ("p-3", "GET /read/1"),
         ];
-        let answers = Caller::send(router.callers, &sent).await.answers(3).await;
-        assert_eq!(answers, answered(&["p-1", "p-2", "p-3"], "200"));
+        let responses = Caller::send(router.callers, &sent).await.responses(3).await;
+        assert_eq!(responses, expected_responses(&["p-1", "p-2", "p-3"], "200"));
         assert_eq!(server.ran(), ["p-1", "p-2", "p-3"]);
     });
 }
