--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -167,7 +167,7 @@
         }
     };
     let conn = in_flight.attach(conn);
-    let request = build_request(call, target, body, router.now());
+    let request = new_request(call, target, body, router.now());
     let response = match conn.send.try_send_request(request).await {
         Ok(response) => response,
         Err(mut error) => {
@@ -202,7 +202,7 @@
         .reach
         .borrow_mut()
         .answered(router.now(), &in_flight.target.dc);
-    record_load(router, service, &in_flight, &head.headers);
+    record_report(router, service, &in_flight, &head.headers);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         drain(body, in_flight).await;
         return SendOutcome::NotRun(NotRun::Misdirected);
@@ -243,7 +243,7 @@
 }
 
 /// Records the load and the remaining warm-up that a server reports in its response headers.
-fn record_load(router: &Router, service: &Service, in_flight: &InFlight, headers: &HeaderMap) {
+fn record_report(router: &Router, service: &Service, in_flight: &InFlight, headers: &HeaderMap) {
     let (target, slot) = (&in_flight.target, &in_flight.slot);
     let now = router.now();
     if let Some(report) = call_header::text(headers, &call_header::LOAD).and_then(LoadReport::parse)
@@ -280,12 +280,7 @@
 }
 
 /// Builds the request to the server, with the time that is left and the server that is expected at the address.
-fn build_request(
-    call: &Call,
-    target: &Target,
-    body: &Rc<RequestBody>,
-    now: Millis,
-) -> Request<Body> {
+fn new_request(call: &Call, target: &Target, body: &Rc<RequestBody>, now: Millis) -> Request<Body> {
     let mut request = Request::new(body.body());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
--- a/crates/chicoryrail-router/src/route/slot_query.rs
+++ b/crates/chicoryrail-router/src/route/slot_query.rs
@@ -150,7 +150,7 @@
     overflowed: bool,
     scheduler: SchedulerHost,
     ticket: u64,
-    /// Whether the scheduler has not decided yet.
+    /// Whether the scheduler has not sent its decision yet.
     pending: bool,
 }
 
@@ -159,7 +159,7 @@
     fn send(&self, call: &Call, tried: &[Life]) {
         let now = self.router.now();
         let work = self.router.work(&call.route.name, call.route.aim);
-        let query = SlotQuery {
+        let slot_query = SlotQuery {
             dc: self.router.boot().dc.clone(),
             part: self.part.clone(),
             overflows: self.overflowed,
@@ -174,7 +174,7 @@
             large: call.route.kind == RouteKind::Download,
             not: tried.to_vec(),
         };
-        send_to_scheduler(self.router, self.scheduler, Packet::SlotQuery(query));
+        send_to_scheduler(self.router, self.scheduler, Packet::SlotQuery(slot_query));
     }
 }
 
--- a/crates/chicoryrail-router/tests/callers.rs
+++ b/crates/chicoryrail-router/tests/callers.rs
@@ -122,7 +122,7 @@
         let world = World::start("cold").await;
         world.configure().await;
         // The server's warm-up rate limit is 5 requests a second times 1.5, plus 5, from all hosts together. The
-        // scheduler uses a share of it; the rest is reserved for hosts that can't reach the scheduler.
+        // scheduler uses a fraction of it; the rest is reserved for hosts that can't reach the scheduler.
         let server = world
             .server_with(TargetOptions {
                 service: "desk".into(),
--- a/crates/chicoryrail-router/tests/limited_servers.rs
+++ b/crates/chicoryrail-router/tests/limited_servers.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Sends requests for successive keys to a router for `length`.
+/// Sends requests to a router for `length`, one after the other and each for another key.
 async fn send_requests(router: &RouterProcess, length: Millis) -> RequestCounts {
     let clock = Clock::start();
     let mut counts = RequestCounts::default();
