--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the parts of the store.
+//! Watches of the store's feeds, and the measured calls to the store.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -17,50 +17,50 @@
 use crate::state::Router;
 use crate::talk::FEED_COUNT;
 
-/// Longest wait of one watch. A connection that goes silent is noticed sooner by probes of the system or
-/// by other calls; this bounds the time where a relay answers the probes. The revision from which a watch goes
-/// on is as old as it waited, and must be within the store's history (20 s).
+/// Longest wait of one watch. A silent connection is usually detected sooner, by TCP keep-alive probes or by other
+/// calls; this bounds the time if a proxy in between answers the probes. The revision from which the next watch
+/// continues is as old as this wait, and must be within the store's history (20 s).
 const WATCH_MAX: Millis = Millis(15_000);
 
-/// Pause after a watch that brought news. Changes come in groups, and each answered watch is a call.
-const GROUP_MIN: Millis = Millis(150);
+/// Pause after a watch that returned changes. Changes come in groups, and each watch that returns costs a call.
+const BATCH_PAUSE_MIN: Millis = Millis(150);
 
-/// The same for the entries of servers and hosts at a host that does not lead, for each host there is: the more there
-/// are, the larger the groups in which servers come and go. At most the longest: a server that leaves serves for
-/// seconds more.
-const GROUP_PER_HOST: Millis = Millis(8);
-const GROUP_MAX: Millis = Millis(600);
+/// Pause per host after changes to entries of servers and hosts, at a host that does not lead: the more hosts there
+/// are, the larger the groups in which servers start and stop. It is at most `BATCH_PAUSE_MAX`, which is safe since a
+/// draining server serves for some seconds more.
+const BATCH_PAUSE_PER_HOST: Millis = Millis(8);
+const BATCH_PAUSE_MAX: Millis = Millis(600);
 
-/// Pause after a call that failed, at first and at most.
+/// Backoff after a failed call: the first pause and the longest.
 const RETRY_BACKOFF_MIN: Millis = Millis(100);
 const RETRY_BACKOFF_MAX: Millis = Millis(800);
 
-/// The leader's and the hosts' keys.
+/// The feed of the leader's key and the core hosts' keys.
 pub(crate) const LIVE: Feed = Feed::Own(store_key::LIVE);
 
-/// The records of who holds which keys.
-const RECORDS: Feed = Feed::Own(store_key::KEYS);
+/// The feed of the key records.
+const KEY_RECORDS: Feed = Feed::Own(store_key::KEYS);
 
-/// Age of the leader's last heartbeat up to which it is trusted to tell of changed records.
+/// Age of the leader's last heartbeat up to which this host relies on the leader's key view_changes.
 const LEADER_TIMEOUT: Millis = Millis(1_000);
 
-/// All parts that every host must know of at once: configuration, servers, leader and core hosts.
+/// All feeds whose changes every host must get at once: configuration, servers, leader and core hosts.
 pub(crate) const FEEDS: [Feed; FEED_COUNT] = [Feed::Operator, Feed::Servers, LIVE];
 
-/// Follows these parts while this host watches the store itself.
+/// Starts a watch of each feed, which runs while this host watches the store itself.
 ///
-/// Each has a watch of its own, so that no host is woken by the records, which are written twice for each move of
-/// keys, and each part is looked at as often as it must be.
+/// Each feed has its own watch and its own pause after changes. Key records are not watched: they are written twice for
+/// each move of keys, and would wake every host.
 pub(crate) fn follow_all(router: &Rc<Router>) {
     for feed in FEEDS {
         monoio::spawn(follow(Rc::clone(router), feed));
     }
-    monoio::spawn(read_records(Rc::clone(router)));
+    monoio::spawn(read_key_records(Rc::clone(router)));
 }
 
-/// Reads the records of who holds which keys at the start, and while no leader is heard, for this host and those that
-/// follow it: a host that the leader can't reach, or can't reach yet, would send to former holders.
-async fn read_records(router: Rc<Router>) {
+/// Reads the key records at the start, and while no heartbeats arrive from the leader, for this host and those that
+/// follow it. Otherwise a host that the leader can't reach, or can't reach yet, would send requests to former owners.
+async fn read_key_records(router: Rc<Router>) {
     loop {
         if !router.source.watches() {
             router
@@ -70,16 +70,17 @@
                 .await;
             continue;
         }
-        match router.store.snapshot(&RECORDS.prefix()).await {
+        match router.store.snapshot(&KEY_RECORDS.prefix()).await {
             Ok(all) => {
-                note(&router, "records", None);
-                let told = router
-                    .view
-                    .borrow_mut()
-                    .replace(router.now(), RECORDS, &all);
-                router.believe(&told);
+                record_store_call(&router, "records", None);
+                let view_changes =
+                    router
+                        .view
+                        .borrow_mut()
+                        .replace(router.now(), KEY_RECORDS, &all);
+                router.believe(&view_changes);
             }
-            Err(e) => note(&router, "records", Some(&e)),
+            Err(e) => record_store_call(&router, "records", Some(&e)),
         }
         router.process.clock.sleep(LEADER_TIMEOUT).await;
         while router.hears_leader(LEADER_TIMEOUT) || !router.store_up.get() {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Follows a part of the store.
+/// Watches a feed while this host watches the store, with backoff after failures.
 async fn follow(router: Rc<Router>, feed: Feed) {
     let mut pause = RETRY_BACKOFF_MIN;
     loop {
@@ -97,17 +98,17 @@
             router.source.changed.after(seen).await;
             continue;
         }
-        let ended = {
-            let following = pin!(follow_once(&router, feed, &mut pause));
+        let watch_end = {
+            let watch = pin!(follow_once(&router, feed, &mut pause));
             let changed = pin!(router.source.changed.after(seen));
-            match select(following, changed).await {
-                Either::Left((error, _)) => error,
+            match select(watch, changed).await {
+                Either::Left((end, _)) => end,
                 Either::Right(_) => continue,
             }
         };
-        match ended {
+        match watch_end {
             WatchEnd::Gap => {}
-            WatchEnd::Failed(error) => note(&router, "watch", Some(&error)),
+            WatchEnd::Failed(error) => record_store_call(&router, "watch", Some(&error)),
         }
         let jitter = rand::rng().random_range(0..=pause.0 / 4);
         router.process.clock.sleep(pause + Millis(jitter)).await;
@@ -117,17 +118,17 @@
 
 /// Why a watch ended.
 enum WatchEnd {
-    /// It was cut while the store answers, or the store was away: changes may be missing.
+    /// The watch was cut while the store replies, or the store had an outage: changes may be missing.
     Gap,
-    /// The store does not answer, or refuses.
+    /// The store does not reply, or it refuses the call.
     Failed(StoreError),
 }
 
-/// Reads everything and watches from there, until a call fails.
+/// Reads a snapshot of a feed and watches from its revision, until a call fails.
 ///
-/// A watch is not taken up again where it was cut. When the store forgets its history, it cuts its watches a moment
-/// before: one sent in that moment from an older revision hears nothing until the next change, and an operator's
-/// change from before it would not be in force for seconds.
+/// A watch that was cut is not resumed from its last revision. The store cuts its watches a moment before it drops its
+/// history. A watch sent in that moment from an older revision gets no reply until the next change, and an operator's
+/// earlier change would take seconds to be in force.
 async fn follow_once(router: &Router, feed: Feed, pause: &mut Millis) -> WatchEnd {
     let store = &router.store;
     let prefix = feed.prefix();
@@ -136,8 +137,8 @@
         Ok(all) => all,
         Err(e) => return WatchEnd::Failed(e),
     };
-    note(router, "snapshot", None);
-    take_snapshot(router, feed, &all);
+    record_store_call(router, "snapshot", None);
+    apply_snapshot(router, feed, &all);
     if feed == Feed::Operator {
         router.organisations.prove_current(sent);
     }
@@ -149,12 +150,12 @@
         let returned = pin!(router.store_returns.after(returns));
         let changes = match select(watch, returned).await {
             Either::Left((changes, _)) => changes,
-            // The watch was sent before the outage: its connection may be silent for good.
+            // The watch was sent before an outage, so its connection may be dead.
             Either::Right(_) => return WatchEnd::Gap,
         };
         let changes = match changes {
-            // Leases end while the store is away, and a watch that was sent before may still be told so. Taken at
-            // that all servers would be left, although they live: their entries are back soon after the store.
+            // Leases expire during a store outage, and a watch from before it may still report that. If this were
+            // applied, no servers would be left although they run: they register again soon after the store returns.
             Ok(_) if router.store_lost.get() != lost && !router.store_up.get() => {
                 log::info!(part:? = feed, after = after; "watch_not_believed");
                 continue;
@@ -164,68 +165,75 @@
                 log::info!(part:? = feed, after = after; "history_gone");
                 return WatchEnd::Gap;
             }
-            // Whether the store answers is seen when everything is read again: taken for an outage at once, a cut
-            // watch would send all hosts that follow this one to another.
+            // The snapshot that follows shows whether the store replies. If a cut watch counted as an outage at once,
+            // all hosts that follow this one would turn to another relay.
             Err(e) => {
                 log::info!(part:? = feed, after = after, error:% = e; "watch_cut");
                 return WatchEnd::Gap;
             }
         };
-        note(router, "watch", None);
+        record_store_call(router, "watch", None);
         *pause = RETRY_BACKOFF_MIN;
-        if take_changes(router, feed, &changes) {
-            router.process.clock.sleep(group_time(router, feed)).await;
+        if apply_changes(router, feed, &changes) {
+            router.process.clock.sleep(batch_pause(router, feed)).await;
         }
     }
 }
 
-/// Returns the place of a part among [`FEEDS`].
-fn feed_number(feed: Feed) -> Option<usize> {
+/// Returns the index of a feed in [`FEEDS`]; `None` for the key records.
+fn feed_index(feed: Feed) -> Option<usize> {
     FEEDS.iter().position(|f| *f == feed)
 }
 
-/// Takes in everything that a part holds.
-pub(crate) fn take_snapshot(router: &Router, feed: Feed, all: &Snapshot) {
-    let at = feed_number(feed);
-    if at.is_some_and(|at| !router.feed_logs.borrow_mut()[at].replace(all)) {
+/// Applies a snapshot of a feed, and notifies the hosts that follow this one. A snapshot older than
+/// what is known of the feed is ignored.
+pub(crate) fn apply_snapshot(router: &Router, feed: Feed, all: &Snapshot) {
+    let index = feed_index(feed);
+    if index.is_some_and(|i| !router.feed_logs.borrow_mut()[i].replace(all)) {
         return;
     }
-    let told = router.view.borrow_mut().replace(router.now(), feed, all);
-    router.believe(&told);
+    let view_changes = router.view.borrow_mut().replace(router.now(), feed, all);
+    router.believe(&view_changes);
     router.news.notify();
 }
 
-/// Takes in what changed in a part; tells whether that changed what is believed.
-pub(crate) fn take_changes(router: &Router, feed: Feed, changes: &Changes) -> bool {
+/// Applies changes of a feed, and notifies the hosts that follow this one; returns whether the view changed.
+pub(crate) fn apply_changes(router: &Router, feed: Feed, changes: &Changes) -> bool {
     let mut logs = router.feed_logs.borrow_mut();
-    let fresh = match feed_number(feed) {
-        Some(at) => logs[at].apply(changes),
+    let fresh = match feed_index(feed) {
+        Some(i) => logs[i].apply(changes),
         None => changes.changes.iter().collect(),
     };
     drop(logs);
     let now = router.now();
-    let told: Vec<_> = {
+    let view_changes: Vec<_> = {
         let mut view = router.view.borrow_mut();
         view.hear(feed, changes.revision);
         let fresh = fresh.into_iter();
         fresh.filter_map(|c| view.apply(now, c)).collect()
     };
-    router.believe(&told);
+    router.believe(&view_changes);
     router.news.notify();
-    !told.is_empty()
+    !view_changes.is_empty()
 }
 
-/// Returns how long to wait for more changes of a part that had one.
-fn group_time(router: &Router, feed: Feed) -> Millis {
+/// Returns the pause after changes of a feed, in which further changes accumulate.
+fn batch_pause(router: &Router, feed: Feed) -> Millis {
     if feed == Feed::Operator || router.leads.get() > 0 {
-        return GROUP_MIN;
+        return BATCH_PAUSE_MIN;
     }
     let hosts = router.peers.borrow().sharing() as u64;
-    GROUP_PER_HOST.times(hosts).clamp(GROUP_MIN, GROUP_MAX)
+    BATCH_PAUSE_PER_HOST
+        .times(hosts)
+        .clamp(BATCH_PAUSE_MIN, BATCH_PAUSE_MAX)
 }
 
-/// Makes a call to the store, and notes its time and whether it was answered.
-pub(crate) async fn call<T>(
+/// Awaits a call to the store, and records its duration and whether the store replied.
+///
+/// # Errors
+///
+/// Returns the error of the call.
+pub(crate) async fn store_call<T>(
     router: &Router,
     name: &str,
     call: impl Future<Output = Result<T, StoreError>>,
@@ -238,12 +246,12 @@
         .store_took
         .with_label_values(&[name])
         .observe(seconds);
-    note(router, name, result.as_ref().err());
+    record_store_call(router, name, result.as_ref().err());
     result
 }
 
-/// Notes whether the store answered a call, and logs when that changes.
-pub(crate) fn note(router: &Router, call: &str, error: Option<&StoreError>) {
+/// Records whether the store replied to a call, and logs when the store is down or has recovered.
+pub(crate) fn record_store_call(router: &Router, call: &str, error: Option<&StoreError>) {
     let down = error.is_some_and(StoreError::is_outage);
     if down {
         router.store_lost.set(Some(router.now()));
--- a/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
@@ -1,4 +1,4 @@
-//! Hears from another host what the store and the leader say.
+//! Gets the store's data and the leader's key assignments from a relay by long polling.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,8 +19,8 @@
 use snafu::Snafu;
 
 use crate::control::config_feed::follow::FEEDS;
-use crate::control::config_feed::follow::take_changes;
-use crate::control::config_feed::follow::take_snapshot;
+use crate::control::config_feed::follow::apply_changes;
+use crate::control::config_feed::follow::apply_snapshot;
 use crate::control::config_feed::relay::POLL_MAX;
 use crate::control::config_feed::relay::RELAY_PATH;
 use crate::control::scheduling;
@@ -36,18 +36,18 @@
 use crate::talk::decompress;
 use crate::talk::encode;
 
-/// Time beyond the wait of a reply after which a relay counts as lost: a busy host of a tenth of a core replies within
-/// it, and a long reply goes on arriving within it. A lost watcher and then a lost relay are found in time for a server's
-/// leave to be known everywhere within 2 s.
+/// Time beyond the relay's longest wait after which it counts as lost, and longest pause within an arriving reply. A
+/// busy host with a tenth of a core replies within it. If a watcher and then a relay are lost, both are detected soon
+/// enough that every host knows of a draining server within 2 s.
 const REPLY_SLACK: Millis = Millis(350);
 
-/// Pause after a reply, in which more news comes together, or after a failure.
+/// Pause after a reply, so that the next one carries several changes, and after a failure.
 const POLL_PAUSE: Millis = Millis(60);
 
-/// Size of a reply from which on it is logged: it tells how long the link was taken.
+/// Size from which a reply is logged, with the time for which it occupied the link.
 const LARGE_REPLY_BYTES: usize = 64 << 10;
 
-/// Time between two tries of a leaf host that watches the store because it found no relay.
+/// Time between two attempts to reach a relay by a leaf host that watches the store because it found none.
 const RELAY_RETRY_INTERVAL: Millis = Millis(1_000);
 
 /// Why a relay gave no reply.
@@ -59,12 +59,14 @@
     /// The reply can't be decompressed.
     #[snafu(display("reply can't be decompressed: {source}"))]
     Decompress { source: DecompressionError },
-    /// The reply can't be read.
-    #[snafu(display("reply can't be read: {source}"))]
+    /// The reply can't be decoded.
+    #[snafu(display("reply can't be decoded: {source}"))]
     Decode { source: bincode::error::DecodeError },
 }
 
-/// Hears from another host what the store says, whenever this one does not watch it itself.
+/// Polls a relay while this host does not watch the store itself, and applies its replies.
+///
+/// A leaf host that watches the store also polls a core host at intervals, to find out when a relay replies again.
 pub(crate) async fn follow_relay(router: Rc<Router>) {
     let client = HttpClient::default();
     loop {
@@ -88,13 +90,13 @@
             continue;
         };
         let sent = router.now();
-        match ask(&router, &client, addr).await {
+        match poll(&router, &client, addr).await {
             Ok(reply) => {
                 router.source.replied.set(router.now());
-                let config = reply.config;
-                take(&router, reply);
-                if let Some(age) = config {
-                    take_config_age(&router, sent, age);
+                let config_age = reply.config;
+                apply_reply(&router, reply);
+                if let Some(age) = config_age {
+                    apply_config_age(&router, sent, age);
                 }
             }
             Err(e) => {
@@ -102,17 +104,17 @@
                 router.peers.borrow_mut().relay_failed(router.now(), addr);
             }
         }
-        // After a failure, the task that chooses the source looks for another relay meanwhile.
+        // After a failure, `choose_source` selects another relay during this pause.
         router.process.clock.sleep(POLL_PAUSE).await;
     }
 }
 
-async fn ask(
+async fn poll(
     router: &Router,
     client: &HttpClient,
     addr: SocketAddr,
 ) -> Result<RelayReply, RelayError> {
-    let bytes = encode(&request(router));
+    let bytes = encode(&poll_request(router));
     let bytes = bytes.unwrap_or_else(|e| {
         log::error!(error:% = e; "relay_request_unwritable");
         Vec::new()
@@ -124,32 +126,32 @@
         first: POLL_MAX + REPLY_SLACK,
         further: REPLY_SLACK,
     };
-    // A relay whose reply is arriving has replied: a leaf host must not turn to the store for it.
+    // A reply that is still arriving counts as one, so that a leaf host does not turn to the store meanwhile.
     let arrived = || router.source.replied.set(router.now());
     let sent = router.now();
-    let answer = client.call_while_arriving(addr, request, wait, arrived);
-    let answer = answer.await.context(CallSnafu)?;
-    log_large(addr, &answer, router.now().since(sent));
-    read_reply(&answer)
+    let response = client.call_while_arriving(addr, request, wait, arrived);
+    let response = response.await.context(CallSnafu)?;
+    log_large_reply(addr, &response, router.now().since(sent));
+    read_reply(&response)
 }
 
-fn log_large(relay: SocketAddr, answer: &Response<Bytes>, took: Millis) {
-    let bytes = answer.body().len();
+fn log_large_reply(relay: SocketAddr, response: &Response<Bytes>, took: Millis) {
+    let bytes = response.body().len();
     if bytes >= LARGE_REPLY_BYTES {
         log::info!(relay:% = relay, bytes = bytes, took_ms = took.0; "relay_reply_large");
     }
 }
 
-fn read_reply(answer: &Response<Bytes>) -> Result<RelayReply, RelayError> {
-    let encoding = answer.headers().get(CONTENT_ENCODING);
+fn read_reply(response: &Response<Bytes>) -> Result<RelayReply, RelayError> {
+    let encoding = response.headers().get(CONTENT_ENCODING);
     if encoding.is_some_and(|e| e == ENCODING) {
-        let message = decompress(answer.body()).context(DecompressSnafu)?;
+        let message = decompress(response.body()).context(DecompressSnafu)?;
         return decode(&message).context(DecodeSnafu);
     }
-    decode(answer.body()).context(DecodeSnafu)
+    decode(response.body()).context(DecodeSnafu)
 }
 
-fn request(router: &Router) -> RelayRequest {
+fn poll_request(router: &Router) -> RelayRequest {
     let view = router.view.borrow();
     let keyed = router.services().into_iter().filter(|s| s.is_keyed());
     let fences = keyed.map(|s| KeyFence {
@@ -165,18 +167,18 @@
     }
 }
 
-/// Takes in what a relay replied.
-fn take(router: &Rc<Router>, reply: RelayReply) {
+/// Applies a relay's reply to this host's view.
+fn apply_reply(router: &Rc<Router>, reply: RelayReply) {
     let now = router.now();
-    take_store(router, reply.store, reply.back_ms.map(Millis));
+    apply_store_state(router, reply.store, reply.back_ms.map(Millis));
     if !router.source.core.get() {
-        take_core(router, &reply);
+        apply_core_hosts(router, &reply);
     }
-    for (feed, news) in FEEDS.into_iter().zip(reply.news) {
-        match news {
-            Some(FeedNews::Whole(all)) => take_snapshot(router, feed, &all),
+    for (feed, update) in FEEDS.into_iter().zip(reply.news) {
+        match update {
+            Some(FeedNews::Whole(all)) => apply_snapshot(router, feed, &all),
             Some(FeedNews::Changes(changes)) => {
-                take_changes(router, feed, &changes);
+                apply_changes(router, feed, &changes);
             }
             None => {}
         }
@@ -184,7 +186,7 @@
     for map in reply.keys {
         let service = router.service(&map.service);
         router.key_record(&service, map.ranges.to_record(map.fence));
-        scheduling::keys_moved(router, &service);
+        scheduling::redirect_moved_keys(router, &service);
     }
     let mut peers = router.peers.borrow_mut();
     peers.count(reply.hosts as usize);
@@ -196,18 +198,19 @@
     }
 }
 
-/// Takes in how old the relay's configuration may be, now that this host knows what the relay knows. The time for which
-/// the reply was on its way is not known, so it counts from the latest moment that is certain.
-fn take_config_age(router: &Router, sent: Millis, age: ConfigAge) {
-    let written = sent + Millis(age.held_ms);
-    let current = written.0.checked_sub(age.age_ms);
-    if let Some(at) = current {
+/// Applies the largest possible age of the relay's configuration, after the reply itself is applied. How long the reply
+/// was in transit is unknown, so the age counts from the earliest time at which the relay can have written the reply.
+fn apply_config_age(router: &Router, sent: Millis, age: ConfigAge) {
+    let written_at = sent + Millis(age.held_ms);
+    let current_at = written_at.0.checked_sub(age.age_ms);
+    if let Some(at) = current_at {
         router.organisations.prove_current(Millis(at));
     }
 }
 
-/// Takes in what a relay says of the store. A leaf host makes no calls by which it would see for itself.
-fn take_store(router: &Router, up: bool, back: Option<Millis>) {
+/// Applies the relay's report on the store: when it returned from an outage, and at a leaf host whether it replies. A
+/// leaf host makes no calls of its own that would show this.
+fn apply_store_state(router: &Router, up: bool, back: Option<Millis>) {
     let now = router.now();
     if let Some(age) = back {
         let at = Millis(now.0.saturating_sub(age.0));
@@ -222,12 +225,12 @@
     }
 }
 
-/// Takes in the core hosts that a relay hears.
-fn take_core(router: &Router, reply: &RelayReply) {
+/// Records the core hosts from which the relay received heartbeats.
+fn apply_core_hosts(router: &Router, reply: &RelayReply) {
     let now = router.now();
     let mut peers = router.peers.borrow_mut();
     for core in &reply.core {
-        let said = HostState {
+        let state = HostState {
             store: core.store,
             power: core.power,
             schedules: core.schedules,
@@ -235,6 +238,6 @@
             watches: core.watches,
             ..HostState::default()
         };
-        peers.heard(now, &core.host, core.addr, said);
+        peers.heard(now, &core.host, core.addr, state);
     }
 }
--- a/crates/chicoryrail-router/src/control/config_feed/mod.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/mod.rs
@@ -1,4 +1,5 @@
-//! How this host hears what the store says, from the store or from a relay. Changes what is believed, and passes it on.
+//! Distribution of the store's data: a host gets it from the store or from a relay, applies it, and relays it to
+//! others.
 
 pub(super) mod follow;
 mod follow_relay;
--- a/crates/chicoryrail-router/src/control/config_feed/prove_config.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/prove_config.rs
@@ -1,4 +1,4 @@
-//! Proves at intervals that the configuration in force is the newest one.
+//! Periodic reads that verify that the configuration in force is current.
 
 use std::rc::Rc;
 
@@ -6,54 +6,55 @@
 use chicoryrail_platform::Feed;
 use monoio::time::timeout;
 
-use crate::control::config_feed::follow::note;
-use crate::control::config_feed::follow::take_snapshot;
+use crate::control::config_feed::follow::apply_snapshot;
+use crate::control::config_feed::follow::record_store_call;
 use crate::state::Router;
 
-/// Time between two proofs, and after one that failed.
-const PROOF_INTERVAL: Millis = Millis(1_000);
-const PROOF_RETRY: Millis = Millis(150);
+/// Time between two reads, and pause after a failed one.
+const VERIFICATION_INTERVAL: Millis = Millis(1_000);
+const VERIFICATION_RETRY_INTERVAL: Millis = Millis(150);
 
 /// Reads the operator's keys at intervals while this host watches the store for others.
 ///
-/// A watch says nothing while nothing changes, also where its connection is silent for good, and a renewed lease says
-/// nothing of other keys. Only a read does, and it counts from the moment at which it was sent.
+/// A watch without changes can't be told from one whose connection is dead, and a renewed lease shows nothing about
+/// other keys. Only a read verifies that the configuration is current, as of the time when the read was sent.
 pub(crate) async fn prove_config(router: Rc<Router>) {
     loop {
         let changed = router.source.changed.count();
-        let pause = match is_needed(&router) {
-            false => PROOF_INTERVAL,
-            true => prove(&router).await,
+        let pause = match needs_verification(&router) {
+            false => VERIFICATION_INTERVAL,
+            true => read_config(&router).await,
         };
         let _ = timeout(pause.duration(), router.source.changed.after(changed)).await;
     }
 }
 
-/// Tells whether other hosts and this one need a proof from here. Without organisations there is no key to take away.
-fn is_needed(router: &Router) -> bool {
+/// Returns `true` if this host must verify the configuration, for itself and the hosts that follow it. Without
+/// organisations there are no API keys to revoke, so nothing needs to be verified.
+fn needs_verification(router: &Router) -> bool {
     let bound = router.boot().bounds.revoke;
     let site = router.site();
     let organisations = site.is_some_and(|s| s.organisations().is_some());
     bound.is_some() && organisations && router.source.watches()
 }
 
-/// Reads the operator's keys; returns the pause after it.
-async fn prove(router: &Router) -> Millis {
+/// Reads the operator's keys and applies them if they changed; returns the pause until the next read.
+async fn read_config(router: &Router) -> Millis {
     let sent = router.now();
     let read = router.store.snapshot(&Feed::Operator.prefix()).await;
-    note(router, "prove_config", read.as_ref().err());
+    record_store_call(router, "prove_config", read.as_ref().err());
     match read {
         Ok(all) => {
-            let known = router.feed_logs.borrow()[0].holds(&all);
-            if !known {
-                take_snapshot(router, Feed::Operator, &all);
+            let is_applied = router.feed_logs.borrow()[0].holds(&all);
+            if !is_applied {
+                apply_snapshot(router, Feed::Operator, &all);
             }
             router.organisations.prove_current(sent);
-            PROOF_INTERVAL.since(router.now().since(sent))
+            VERIFICATION_INTERVAL.since(router.now().since(sent))
         }
         Err(e) => {
             log::info!(error:% = e; "config_not_proved");
-            PROOF_RETRY
+            VERIFICATION_RETRY_INTERVAL
         }
     }
 }
--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -1,4 +1,4 @@
-//! Passes on what the store and the leader say to the hosts that follow this one.
+//! The relay: replies to hosts that get the store's data and the leader's key assignments from this host.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -30,16 +30,16 @@
 use crate::talk::decode;
 use crate::talk::encode;
 
-/// Longest time for which a reply waits for news. A host that hears nothing for longer goes to another relay.
+/// Longest time for which a reply waits for changes. A host that gets no reply for longer turns to another relay.
 pub(super) const POLL_MAX: Millis = Millis(400);
 
-/// Longest request of a host.
+/// Largest request body of a following host.
 const REQUEST_BYTES_MAX: usize = 64 << 10;
 
-/// Path of a relay.
+/// HTTP path of the relay.
 pub(super) const RELAY_PATH: &str = "/relay";
 
-/// Replies to a host that follows this one, as soon as there is news for it.
+/// Replies to a host that follows this one when there are changes for it, or after [`POLL_MAX`].
 pub(crate) async fn relay(router: Rc<Router>, request: Request<Body>) -> Response<Body> {
     if request.uri().path() != RELAY_PATH {
         return error_answer(404, "no such page");
@@ -49,25 +49,25 @@
     let Ok(body) = collect(request.into_body(), REQUEST_BYTES_MAX).await else {
         return error_answer(400, "the request was cut or is too long");
     };
-    let Ok(asked) = decode::<RelayRequest>(&body) else {
+    let Ok(poll) = decode::<RelayRequest>(&body) else {
         return error_answer(400, "the request can't be read");
     };
-    if asked.leaf {
+    if poll.leaf {
         let mut leaves = router.leaves.borrow_mut();
-        leaves.insert(asked.host.clone(), router.now());
+        leaves.insert(poll.host.clone(), router.now());
     }
     let received = router.now();
     let end = received + POLL_MAX;
     loop {
         let seen = router.news.count();
-        let left = end.since(router.now());
-        if left == Millis::ZERO || has_news(&router, &asked) {
+        let remaining = end.since(router.now());
+        if remaining == Millis::ZERO || has_changes(&router, &poll) {
             break;
         }
-        let _ = timeout(left.duration(), router.news.after(seen)).await;
+        let _ = timeout(remaining.duration(), router.news.after(seen)).await;
     }
-    match encode(&reply(&router, &asked, received)) {
-        Ok(bytes) if compressed => compressed_answer(bytes),
+    match encode(&reply(&router, &poll, received)) {
+        Ok(bytes) if compressed => compressed_response(bytes),
         Ok(bytes) => Response::new(full(bytes)),
         Err(e) => {
             log::error!(error:% = e; "relay_unwritable");
@@ -76,42 +76,43 @@
     }
 }
 
-/// Returns a reply that takes as little of a slow link as it can.
-fn compressed_answer(bytes: Vec<u8>) -> Response<Body> {
-    let Some(short) = compress(&bytes) else {
+/// Returns a compressed reply, which takes less of a slow link; a short message stays uncompressed.
+fn compressed_response(bytes: Vec<u8>) -> Response<Body> {
+    let Some(compressed) = compress(&bytes) else {
         return Response::new(full(bytes));
     };
-    let mut answer = Response::new(full(short));
+    let mut response = Response::new(full(compressed));
     let encoding = HeaderValue::from_static(ENCODING);
-    answer.headers_mut().insert(CONTENT_ENCODING, encoding);
-    answer
+    response.headers_mut().insert(CONTENT_ENCODING, encoding);
+    response
 }
 
-/// Tells whether there is anything that a host must hear at once.
-fn has_news(router: &Router, asked: &RelayRequest) -> bool {
+/// Returns `true` if the store's state, a feed or a service's key assignment differs from what the host knows.
+fn has_changes(router: &Router, poll: &RelayRequest) -> bool {
     let logs = router.feed_logs.borrow();
-    let mut feeds = logs.iter().zip(asked.revisions);
-    asked.store != router.store_up.get()
+    let mut feeds = logs.iter().zip(poll.revisions);
+    poll.store != router.store_up.get()
         || feeds.any(|(log, after)| log.has_since(after))
         || router.services().iter().any(|s| {
             let fence = s.keys.borrow().fence();
-            s.is_keyed() && fence > known_fence(asked, &s.name)
+            s.is_keyed() && fence > known_fence(poll, &s.name)
         })
 }
 
-fn known_fence(asked: &RelayRequest, service: &ServiceName) -> u64 {
-    let known = asked.fences.iter().find(|f| f.service == *service);
+fn known_fence(poll: &RelayRequest, service: &ServiceName) -> u64 {
+    let known = poll.fences.iter().find(|f| f.service == *service);
     known.map_or(0, |f| f.fence)
 }
 
-fn reply(router: &Router, asked: &RelayRequest, received: Millis) -> RelayReply {
+/// Builds the reply from the state of this moment; `received` is when the request arrived.
+fn reply(router: &Router, poll: &RelayRequest, received: Millis) -> RelayReply {
     let now = router.now();
     let logs = router.feed_logs.borrow();
-    let news = std::array::from_fn(|i| logs[i].since(asked.revisions[i]));
+    let news = std::array::from_fn(|i| logs[i].since(poll.revisions[i]));
     let peers = router.peers.borrow();
     RelayReply {
         news,
-        keys: key_maps(router, asked),
+        keys: key_maps(router, poll),
         core: core_states(router),
         hosts: peers.sharing() as u32,
         term: peers.highest_term(),
@@ -123,6 +124,7 @@
     }
 }
 
+/// Returns the configuration's age now, and for how long the request was held.
 fn config_age(router: &Router, now: Millis, received: Millis) -> Option<ConfigAge> {
     let age = router.organisations.freshness().age(now)?;
     Some(ConfigAge {
@@ -131,12 +133,12 @@
     })
 }
 
-fn key_maps(router: &Router, asked: &RelayRequest) -> Vec<KeyMap> {
+fn key_maps(router: &Router, poll: &RelayRequest) -> Vec<KeyMap> {
     let mut maps = Vec::new();
     for service in router.services() {
         let keys = service.keys.borrow();
         let fence = keys.fence();
-        if fence > known_fence(asked, &service.name) {
+        if fence > known_fence(poll, &service.name) {
             let ranges = KeyRanges::pack(&keys.record_in_force().spans);
             let service = service.name.clone();
             maps.push(KeyMap {
@@ -149,24 +151,24 @@
     maps
 }
 
-/// Returns the core hosts that this one hears, itself included.
+/// Returns the core hosts from which this one received a heartbeat recently, and itself.
 fn core_states(router: &Router) -> Vec<CoreState> {
     let peers = router.peers.borrow();
-    let heard = peers.heard_lately(router.now());
-    let others = heard.map(|(host, addr, said)| core_state(host, addr, said));
+    let recent = peers.heard_lately(router.now());
+    let others = recent.map(|(host, addr, state)| core_state(host, addr, state));
     let boot = router.boot();
     let own = core_state(&boot.host, router.talk_addr(), &router.host_state());
     others.chain([own]).collect()
 }
 
-fn core_state(host: &HostName, addr: SocketAddr, said: &HostState) -> CoreState {
+fn core_state(host: &HostName, addr: SocketAddr, state: &HostState) -> CoreState {
     CoreState {
         host: host.clone(),
         addr,
-        dc: said.dc.clone(),
-        power: said.power,
-        schedules: said.schedules,
-        store: said.store,
-        watches: said.watches,
+        dc: state.dc.clone(),
+        power: state.power,
+        schedules: state.schedules,
+        store: state.store,
+        watches: state.watches,
     }
 }
--- a/crates/chicoryrail-router/src/control/gossip.rs
+++ b/crates/chicoryrail-router/src/control/gossip.rs
@@ -1,5 +1,5 @@
-//! What hosts tell each other: who leads, who holds which keys, and to the leader the keys that were
-//! asked for.
+//! Datagrams between core hosts: heartbeats with the leader's key updates, and reports to the leader of requested
+//! keys and service rates.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,48 +24,49 @@
 use crate::talk::Packet;
 use crate::talk::SlotReply;
 
-/// Time between two datagrams to each other host without news. It is also how soon a leader that was cut
-/// off from the store hears of its successor.
+/// Time between two heartbeats to each other host while nothing changes. A leader that was cut off from the store
+/// learns of its successor within this time.
 const HEARTBEAT_INTERVAL: Millis = Millis(400);
 
-/// Time between two reports of the keys that callers asked for, for each host there is, and at least: a range of keys
-/// that grows busy is to be seen within a moment, and the leader should get a few hundred reports a second at most.
+/// Time between two reports of requested keys: this long for each host, and at least `DEMAND_REPORT_INTERVAL_MIN`. The
+/// leader must see soon that a range of keys becomes busy, and should receive a few hundred reports a second at most.
 const DEMAND_REPORT_PER_HOST: Millis = Millis(2);
 const DEMAND_REPORT_INTERVAL_MIN: Millis = Millis(100);
 
-/// Keys of one report; a datagram should fit into one packet.
+/// Largest number of keys in one report, so that the datagram fits into one packet.
 const KEYS_PER_REPORT_MAX: usize = 400;
 
-/// Time between two looks of a leaf host whether it became a core host.
+/// Time between two checks of a leaf host whether it became a core host.
 const CORE_POLL_INTERVAL: Millis = Millis(50);
 
-/// Time between two messages on free slots: as long as short work takes, so that what they say is still true.
+/// Time between two messages about free slots. It is as long as a short request runs, so that the counts are still
+/// valid when they are used.
 const FREE_SLOTS_INTERVAL: Millis = Millis(150);
 
-/// Heartbeats after which the leader sends all ranges of keys again, should the datagram with them have been lost.
+/// Heartbeats after which the leader sends all key ranges again, in case the datagram with them was lost.
 const HEARTBEATS_PER_RANGES: u32 = 3;
 
-/// Ranges of a service as they were sent last.
+/// Last transmission of a service's key ranges.
 #[derive(Debug, Default)]
 struct SentRanges {
     fence: u64,
-    /// Heartbeats since.
+    /// Heartbeats since the transmission.
     heartbeats: u32,
 }
 
-/// What this host tells the others, and hears from them.
+/// Sends this host's datagrams and handles those of other hosts.
 pub(crate) struct Gossip {
     router: Rc<Router>,
-    /// What the leader knows, while this host leads.
+    /// Leadership state, in use while this host leads.
     leadership: Rc<LeaderTerm>,
-    /// Tokens that this host gives out, while it leads.
+    /// Quota tokens that this host grants while it leads.
     pools: Rc<QuotaPools>,
-    /// Ranges of each service as they were sent last.
+    /// Last transmission of each service's key ranges.
     sent: RefCell<BTreeMap<ServiceName, SentRanges>>,
 }
 
 impl Gossip {
-    /// Builds the two sides for a host.
+    /// Creates the gossip of a host that has sent nothing yet.
     pub(crate) fn new(
         router: &Rc<Router>,
         leadership: &Rc<LeaderTerm>,
@@ -79,48 +80,47 @@
         })
     }
 
-    /// Takes in what another host sent.
+    /// Handles a packet from another host.
     pub(crate) fn handle_packet(&self, packet: Packet, from: SocketAddr) {
         match packet {
             Packet::Heartbeat(heartbeat) => self.handle_heartbeat(heartbeat, from),
-            Packet::KeyDemand(asked) => self.handle_key_demand(&asked),
-            Packet::Paces(paces) => self.leadership.heard_paces(paces),
+            Packet::KeyDemand(demands) => self.handle_key_demand(&demands),
+            Packet::Paces(rates) => self.leadership.record_service_rates(rates),
             Packet::SlotReply { ticket, reply } => self.handle_slot_reply(ticket, reply),
             Packet::QuotaReports(reports) => {
-                quota::answer_report(&self.router, &self.pools, &reports, from);
+                quota::reply_to_report(&self.router, &self.pools, &reports, from);
             }
-            Packet::QuotaGrants(grants) => quota::take_grants(&self.router, &grants),
+            Packet::QuotaGrants(grants) => quota::apply_grants(&self.router, &grants),
             packet => scheduling::handle_packet(&self.router, &packet, Some(from)),
         }
     }
 
     fn handle_slot_reply(&self, ticket: u64, reply: SlotReply) {
-        // Nobody waits any more: the reply came late. The slot that it gives is free again when the
-        // request's time is over, as the scheduler sees it.
+        // The request no longer waits. The scheduler frees the assigned slot when the request's deadline has passed.
         if !self.router.asks.replied(ticket, reply) {
             log::debug!(ticket = ticket; "reply_late");
         }
     }
 
-    /// Tells the others at intervals, and at once when the leader has news.
+    /// Sends heartbeats at intervals, and at once when the leader's state changes.
     pub(crate) async fn send_heartbeats(self: Rc<Self>) {
         loop {
             if !self.router.source.core.get() {
                 self.router.process.clock.sleep(CORE_POLL_INTERVAL).await;
                 continue;
             }
-            let seen = self.leadership.news.count();
+            let seen = self.leadership.changed.count();
             let leads = self.router.leads.get() > 0;
             let heartbeat = Packet::Heartbeat(self.heartbeat(leads));
-            let all = self.router.peers.borrow().addrs();
-            self.router.talk.send_all(&heartbeat, &all).await;
-            self.report_paces(leads, &all).await;
-            let wait = self.leadership.news.after(seen);
-            let _ = monoio::time::timeout(HEARTBEAT_INTERVAL.duration(), wait).await;
+            let addrs = self.router.peers.borrow().addrs();
+            self.router.talk.send_all(&heartbeat, &addrs).await;
+            self.report_service_rates(leads, &addrs).await;
+            let change = self.leadership.changed.after(seen);
+            let _ = monoio::time::timeout(HEARTBEAT_INTERVAL.duration(), change).await;
         }
     }
 
-    /// Tells the other core hosts at short intervals how many slots are free in the parts that this one schedules.
+    /// Sends the free slots of the parts that this host schedules to the other core hosts, at short intervals.
     pub(crate) async fn send_free_slots(self: Rc<Self>) {
         loop {
             self.router.process.clock.sleep(FREE_SLOTS_INTERVAL).await;
@@ -131,15 +131,15 @@
             if free.is_empty() {
                 continue;
             }
-            let all = self.router.peers.borrow().addrs();
+            let addrs = self.router.peers.borrow().addrs();
             let packet = Packet::Rooms(free);
-            // This host may schedule the part of another data centre as well.
+            // This host may schedule the parts of several data centres, so it applies its own counts too.
             scheduling::handle_packet(&self.router, &packet, None);
-            self.router.talk.send_all(&packet, &all).await;
+            self.router.talk.send_all(&packet, &addrs).await;
         }
     }
 
-    /// Reports the keys that callers asked for to the leader.
+    /// Reports the keys that callers requested to the leader, at intervals.
     pub(crate) async fn report_key_demand(self: Rc<Self>) {
         loop {
             let hosts = self.router.peers.borrow().addrs().len() as u64;
@@ -147,24 +147,25 @@
                 .times(hosts)
                 .max(DEMAND_REPORT_INTERVAL_MIN);
             self.router.process.clock.sleep(pause).await;
-            let asked = self.asked();
+            let demands = self.take_key_demand();
             if self.router.leads.get() > 0 {
-                self.handle_key_demand(&asked);
+                self.handle_key_demand(&demands);
                 continue;
             }
             let leader = self.router.peers.borrow().leader_addr();
-            if let Some(leader) = leader.filter(|_| !asked.is_empty()) {
+            if let Some(leader) = leader.filter(|_| !demands.is_empty()) {
                 self.router
                     .talk
-                    .send(&Packet::KeyDemand(asked), leader)
+                    .send(&Packet::KeyDemand(demands), leader)
                     .await;
             }
         }
     }
 
-    fn handle_key_demand(&self, asked: &[KeyDemand]) {
-        for asked in asked {
-            self.leadership.asked(&asked.service, &asked.keys);
+    fn handle_key_demand(&self, demands: &[KeyDemand]) {
+        for demand in demands {
+            self.leadership
+                .record_key_demand(&demand.service, &demand.keys);
         }
     }
 
@@ -174,36 +175,36 @@
         } else {
             Vec::new()
         };
-        let said = self.router.host_state();
+        let state = self.router.host_state();
         Heartbeat {
             host: self.router.boot().host.clone(),
             dc: self.router.boot().dc.clone(),
             term: self.router.peers.borrow().highest_term(),
             leads,
-            store: said.store,
-            reaches: said.reaches,
-            power: said.power,
-            schedules: said.schedules,
-            watches: said.watches,
-            leaves: said.leaves,
+            store: state.store,
+            reaches: state.reaches,
+            power: state.power,
+            schedules: state.schedules,
+            watches: state.watches,
+            leaves: state.leaves,
             keys,
         }
     }
 
     fn key_updates(&self) -> Vec<KeyUpdate> {
-        let updates = self.leadership.updates.borrow();
-        let pair = |s: &KeyRange| (s.first, s.last);
+        let updates = self.leadership.key_updates.borrow();
+        let bounds = |s: &KeyRange| (s.first, s.last);
         let update = |(service, known): (&ServiceName, &(KeyRecord, Vec<KeyRange>))| KeyUpdate {
             service: service.clone(),
             fence: known.0.fence,
-            ranges: self.ranges(service, &known.0),
-            blocked: known.1.iter().map(pair).collect(),
+            ranges: self.ranges_due(service, &known.0),
+            blocked: known.1.iter().map(bounds).collect(),
         };
         updates.iter().map(update).collect()
     }
 
-    /// Returns the ranges of a service where they are to be sent: with a new fence, and now and then again.
-    fn ranges(&self, service: &ServiceName, record: &KeyRecord) -> Option<KeyRanges> {
+    /// Returns a service's ranges if the next heartbeat carries them: on a new fence, and every few heartbeats.
+    fn ranges_due(&self, service: &ServiceName, record: &KeyRecord) -> Option<KeyRanges> {
         let mut sent = self.sent.borrow_mut();
         let sent = sent.entry(service.clone()).or_default();
         sent.heartbeats += 1;
@@ -217,9 +218,9 @@
         Some(KeyRanges::pack(&record.spans))
     }
 
-    /// Takes the keys that were asked for since the last report.
-    fn asked(&self) -> Vec<KeyDemand> {
-        let mut all = Vec::new();
+    /// Removes and returns the keys that were requested since the last report.
+    fn take_key_demand(&self) -> Vec<KeyDemand> {
+        let mut demands = Vec::new();
         for service in self.router.services() {
             let keys = std::mem::take(&mut *service.asked.borrow_mut());
             if keys.is_empty() {
@@ -227,31 +228,32 @@
             }
             let keys = keys.into_iter().take(KEYS_PER_REPORT_MAX).collect();
             let service = service.name.clone();
-            all.push(KeyDemand { service, keys });
+            demands.push(KeyDemand { service, keys });
         }
-        all
+        demands
     }
 
-    /// Tells the leader how much servers do, or all where nobody is known to lead: one of them will.
-    async fn report_paces(&self, leads: bool, all: &[SocketAddr]) {
-        let paces = scheduling::paces(&self.router);
+    /// Reports the servers' service rates to the leader. While no leader is known, all hosts receive the report, since
+    /// one of them will lead.
+    async fn report_service_rates(&self, leads: bool, addrs: &[SocketAddr]) {
+        let rates = scheduling::service_rates(&self.router);
         if leads {
-            self.leadership.heard_paces(paces);
+            self.leadership.record_service_rates(rates);
             return;
         }
         let leader = self.router.peers.borrow().leader_addr();
-        let to = leader.as_ref().map_or(all, std::slice::from_ref);
-        if !paces.is_empty() {
-            self.router.talk.send_all(&Packet::Paces(paces), to).await;
+        let to = leader.as_ref().map_or(addrs, std::slice::from_ref);
+        if !rates.is_empty() {
+            self.router.talk.send_all(&Packet::Paces(rates), to).await;
         }
     }
 
     fn handle_heartbeat(&self, heartbeat: Heartbeat, from: SocketAddr) {
         let now = self.router.now();
-        let known = self.router.peers.borrow().highest_term();
+        let known_term = self.router.peers.borrow().highest_term();
         {
             let mut peers = self.router.peers.borrow_mut();
-            let said = HostState {
+            let state = HostState {
                 store: heartbeat.store,
                 reaches: heartbeat.reaches,
                 power: heartbeat.power,
@@ -260,38 +262,39 @@
                 watches: heartbeat.watches,
                 leaves: heartbeat.leaves,
             };
-            peers.heard(now, &heartbeat.host, from, said);
-            let all = peers.all_hosts(now, self.router.leaves());
-            peers.count(all);
+            peers.heard(now, &heartbeat.host, from, state);
+            let host_count = peers.all_hosts(now, self.router.leaves());
+            peers.count(host_count);
             let leader = heartbeat.leads.then_some(&heartbeat.host);
-            if heartbeat.leads && heartbeat.term >= known {
+            if heartbeat.leads && heartbeat.term >= known_term {
                 peers.heard_leader(now);
             }
             if peers.term(heartbeat.term, leader) {
-                log::info!(term = heartbeat.term, from:% = heartbeat.host, known = known; "term_heard");
+                log::info!(term = heartbeat.term, from:% = heartbeat.host,
+                    known = known_term; "term_heard");
             }
         }
-        // A leader that was replaced may not know it yet; its key update is old.
-        if heartbeat.leads && heartbeat.term >= known {
-            for key in heartbeat.keys {
-                self.handle_key_update(now, key);
+        // A leader that was replaced may not know it yet; its key updates are outdated.
+        if heartbeat.leads && heartbeat.term >= known_term {
+            for update in heartbeat.keys {
+                self.handle_key_update(now, update);
             }
         }
     }
 
-    fn handle_key_update(&self, now: Millis, heartbeat: KeyUpdate) {
-        let service = self.router.service(&heartbeat.service);
-        if let Some(ranges) = &heartbeat.ranges {
-            let record = ranges.to_record(heartbeat.fence);
+    fn handle_key_update(&self, now: Millis, update: KeyUpdate) {
+        let service = self.router.service(&update.service);
+        if let Some(ranges) = &update.ranges {
+            let record = ranges.to_record(update.fence);
             service.keys.borrow_mut().record(now, record);
         }
-        let blocked = heartbeat.blocked.into_iter();
+        let blocked = update.blocked.into_iter();
         let blocked = blocked.map(|(first, last)| KeyRange { first, last });
         service
             .keys
             .borrow_mut()
-            .blocked(heartbeat.fence, blocked.collect());
-        scheduling::keys_moved(&self.router, &service);
+            .blocked(update.fence, blocked.collect());
+        scheduling::redirect_moved_keys(&self.router, &service);
         service.changed.notify();
     }
 }
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -1,4 +1,4 @@
-//! Which host leads.
+//! Leader election: one host at a time holds the leader's key in the store under a lease.
 
 use std::rc::Rc;
 
@@ -10,36 +10,37 @@
 use rand::Rng;
 
 use crate::control::config_feed::follow::LIVE;
-use crate::control::config_feed::follow::call;
-use crate::control::leader::keep_keys;
+use crate::control::config_feed::follow::store_call;
+use crate::control::leader::key_leader;
 use crate::control::leader::leader_term::LeaderTerm;
 use crate::state::Router;
 
-/// Lease of the leader's key. A leader that is lost is replaced after it; shorter than the hold of keys
-/// by more than an election takes.
+/// TTL of the store lease on the leader's key. A lost leader is replaced after it expires. It is shorter than the
+/// key leases (2.5 s) by more than an election takes.
 const ELECTION_LEASE: Millis = Millis(1_000);
 const ELECTION_RENEWAL_INTERVAL: Millis = Millis(300);
 
-/// Time over which hosts spread their attempts to lead, so that mostly one of them calls.
+/// Longest random delay before a campaign, so that usually only one host calls the store.
 const CAMPAIGN_JITTER: Millis = Millis(60);
 
-/// Time for which a host lets those go first that reach more data centres: an election among them is over by
-/// then, and the hold of keys (2.5 s) bears it.
+/// Campaign delay of a host while another one reaches more data centres. An election among the others is over by
+/// then, and the key leases (2.5 s) outlast the delay.
 const FEWER_REACHED_DELAY: Millis = Millis(250);
 
-/// Time for which a host lets much stronger ones go first.
+/// Campaign delay of a host that knows a much more powerful one.
 const WEAKER_HOST_DELAY: Millis = Millis(150);
 
-/// Time for which a host lets those go first that watch the store themselves: it may hear of a new leader later.
+/// Campaign delay of a host that does not watch the store itself: it may learn of a new leader later than the
+/// watchers do.
 const NOT_WATCHING_DELAY: Millis = Millis(200);
 
-/// Time for which a leader that made way does not try again.
-const RESIGNED_PAUSE: Millis = Millis(1_000);
+/// Time for which a leader that stepped down does not campaign again.
+const STEP_DOWN_PAUSE: Millis = Millis(1_000);
 
-/// Pause between two looks whether there is a leader.
+/// Time between two checks whether there is a leader.
 const LEADER_CHECK_INTERVAL: Millis = Millis(100);
 
-/// Leads whenever nobody else does.
+/// Campaigns whenever there is no leader, and leads after each election that this host wins.
 pub(crate) async fn elect(router: Rc<Router>, leadership: Rc<LeaderTerm>) {
     loop {
         router.process.clock.sleep(LEADER_CHECK_INTERVAL).await;
@@ -47,8 +48,9 @@
             return;
         }
         let core = router.source.core.get();
-        let known = core && router.view.borrow().heard(LIVE).is_some() && router.store_up.get();
-        if !known || router.view.borrow().own(LEADER).is_some() {
+        let may_campaign =
+            core && router.view.borrow().heard(LIVE).is_some() && router.store_up.get();
+        if !may_campaign || router.view.borrow().own(LEADER).is_some() {
             continue;
         }
         let mut wait = Millis(rand::rng().random_range(0..CAMPAIGN_JITTER.0));
@@ -81,36 +83,37 @@
     }
 }
 
-fn key() -> String {
+fn leader_key() -> String {
     format!("{OWN_PREFIX}{LEADER}")
 }
 
-/// Tries to become the leader; returns the term, the lease and its length.
+/// Tries to become the leader; returns the term, the id of the lease and its TTL, or `None` if another host leads.
 async fn campaign(router: &Router) -> Result<Option<(u64, u64, Millis)>, StoreError> {
     let ttl = ELECTION_LEASE.max(router.boot().store.least_lease);
-    let lease = call(router, "open_lease", router.store.open_lease(ttl)).await?;
+    let lease = store_call(router, "open_lease", router.store.open_lease(ttl)).await?;
     let name = router.boot().host.clone();
-    let txn =
-        Txn::default()
-            .expect(&key(), 0)
-            .put_leased(&key(), name.as_str().as_bytes(), lease.id);
-    match call(router, "campaign", router.store.commit(&txn)).await {
+    let txn = Txn::default().expect(&leader_key(), 0).put_leased(
+        &leader_key(),
+        name.as_str().as_bytes(),
+        lease.id,
+    );
+    match store_call(router, "campaign", router.store.commit(&txn)).await {
         Ok(term) => Ok(Some((term, lease.id, lease.ttl))),
         Err(StoreError::Conflict { .. }) => {
-            end(router, lease.id).await;
+            end_lease(router, lease.id).await;
             Ok(None)
         }
-        // It may have been done: the lease is left to run out, so nobody leads until then.
+        // The commit may have succeeded. The lease is left to expire, so there is no leader until then.
         Err(e) => Err(e),
     }
 }
 
-async fn end(router: &Router, lease: u64) {
-    // One that can't be ended runs out by itself.
-    let _ = call(router, "end_lease", router.store.end_lease(lease)).await;
+async fn end_lease(router: &Router, lease: u64) {
+    // If the call fails, the lease expires by itself.
+    let _ = store_call(router, "end_lease", router.store.end_lease(lease)).await;
 }
 
-/// Leads until the lease is lost, another leader is heard of, or the process is to stop.
+/// Leads until the lease is lost, another leader has a higher term, this host steps down, or the process stops.
 async fn lead(
     router: &Rc<Router>,
     leadership: &Rc<LeaderTerm>,
@@ -120,58 +123,64 @@
 ) {
     log::info!(term = term, lease = lease; "leader_won");
     leadership.term.set(term);
-    leadership.ttl.set(ttl);
-    leadership.confirmed.set(router.now());
+    leadership.lease_ttl.set(ttl);
+    leadership.confirmed_at.set(router.now());
     router.leads.set(term);
     router.counters.leading.set(1);
     let host = router.boot().host.clone();
     router.peers.borrow_mut().term(term, Some(&host));
-    leadership.news.notify();
-    monoio::spawn(keep_keys::keep(
+    leadership.changed.notify();
+    monoio::spawn(key_leader::lead_keys(
         Rc::clone(router),
         Rc::clone(leadership),
         term,
-        key(),
+        leader_key(),
     ));
-    let why = hold(router, leadership, term, lease).await;
+    let reason = hold_leadership(router, leadership, term, lease).await;
     leadership.term.set(0);
-    leadership.updates.borrow_mut().clear();
+    leadership.key_updates.borrow_mut().clear();
     router.leads.set(0);
     router.counters.leading.set(0);
-    log::info!(term = term, why = why; "leader_lost");
-    leadership.resigns.set(false);
-    let resigned = matches!(why, "out_of_reach" | "stronger_host");
-    if resigned || why == "stop" {
-        end(router, lease).await;
+    log::info!(term = term, why = reason; "leader_lost");
+    leadership.steps_down.set(false);
+    let stepped_down = matches!(reason, "out_of_reach" | "stronger_host");
+    if stepped_down || reason == "stop" {
+        end_lease(router, lease).await;
     }
-    if resigned {
-        router.process.clock.sleep(RESIGNED_PAUSE).await;
+    if stepped_down {
+        router.process.clock.sleep(STEP_DOWN_PAUSE).await;
     }
 }
 
-async fn hold(router: &Router, leadership: &LeaderTerm, term: u64, lease: u64) -> &'static str {
+/// Renews the lease until the term ends; returns the reason that is logged.
+async fn hold_leadership(
+    router: &Router,
+    leadership: &LeaderTerm,
+    term: u64,
+    lease: u64,
+) -> &'static str {
     loop {
         let sent = router.now();
-        let kept = call(router, "keep_lease", router.store.keep_lease(lease)).await;
-        match kept {
-            Ok(()) => leadership.confirmed.set(sent),
+        let renewed = store_call(router, "keep_lease", router.store.keep_lease(lease)).await;
+        match renewed {
+            Ok(()) => leadership.confirmed_at.set(sent),
             Err(StoreError::LeaseGone) => return "lease_gone",
             Err(_) => {}
         }
         let end = router.now() + ELECTION_RENEWAL_INTERVAL;
         while router.now() < end {
-            // While the store is away nobody can take over: the keys are kept to the end.
+            // During a store outage no other host can take over, so this one renews the keys until the process ends.
             if router.process.stop.is_cancelled() && router.store_up.get() {
                 return "stop";
             }
             if router.peers.borrow().highest_term() > term {
                 return "successor";
             }
-            if leadership.resigns.get() {
+            if leadership.steps_down.get() {
                 return "out_of_reach";
             }
-            // A scheduler on a host that can't keep up is late for every request; nobody could take over while
-            // the store is away.
+            // The leader should be a host that can keep up: a slow one delays every request that it schedules.
+            // During a store outage no other host could take over.
             if router.store_up.get() && router.knows_stronger() {
                 return "stronger_host";
             }
--- a/crates/chicoryrail-router/src/control/leader/key_calls.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_calls.rs
@@ -1,4 +1,4 @@
-//! The calls that keeping keys takes: to the store, and to the servers.
+//! The calls of the key leader: record writes to the store, grants and releases to servers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,21 +17,22 @@
 use chicoryrail_platform::Txn;
 use chicoryrail_runtime::Invariant;
 
-use crate::control::config_feed::follow::call;
-use crate::control::leader::keep_keys::KeyLeader;
-use crate::control::leader::keep_keys::record_key;
+use crate::control::config_feed::follow::store_call;
+use crate::control::leader::key_leader::KeyLeader;
+use crate::control::leader::key_leader::record_key;
 
-/// Pause after a call to the store that failed.
+/// Pause after a record write with an indeterminate outcome.
 const CALL_RETRY_INTERVAL: Millis = Millis(150);
 
 impl KeyLeader {
+    /// Writes a record to the store. The term ends if the store refuses the write.
     pub(super) async fn commit(self: Rc<Self>, record: KeyRecord) {
         let key = record_key(&self.service);
-        let done = self.write(&key, &record).await;
+        let written = self.write(&key, &record).await;
         let now = self.router.now();
-        match done {
+        match written {
             Ok(revision) => {
-                let before = self.stored.replace(record.fence);
+                let before = self.stored_fence.replace(record.fence);
                 let invariants = &self.router.process.invariants;
                 invariants.rises(Invariant::FenceForward, &before, &record.fence);
                 self.revision.set(revision);
@@ -49,7 +50,7 @@
             }
         }
         self.committing.set(false);
-        self.ended.notify();
+        self.call_ended.notify();
     }
 
     fn end_term(&self) {
@@ -58,8 +59,9 @@
         }
     }
 
-    /// Writes the record, while this host is the leader and nobody else changed it. A write whose answer
-    /// was lost is found by its attempt.
+    /// Writes the record on condition that this host still leads and the record is unchanged; returns the revision.
+    ///
+    /// If the reply to a write was lost, the record is read again: its `attempt` shows whether it is this write.
     async fn write(&self, key: &str, record: &KeyRecord) -> Result<u64, StoreError> {
         let value = serde_json::to_vec(record).map_err(|e| StoreError::Refused {
             message: e.to_string(),
@@ -69,36 +71,37 @@
             .expect(key, self.revision.get())
             .put(key, &value);
         let store = &self.router.store;
-        let error = match call(&self.router, "write_record", store.commit(&txn)).await {
+        let error = match store_call(&self.router, "write_record", store.commit(&txn)).await {
             Ok(revision) => return Ok(revision),
             Err(e) => e,
         };
         if !matches!(error, StoreError::Conflict { .. } | StoreError::Down { .. }) {
             return Err(error);
         }
-        let item = call(&self.router, "read_record", store.item(key)).await?;
+        let item = store_call(&self.router, "read_record", store.item(key)).await?;
         let found = item.filter(|i| i.revision != self.revision.get());
-        let ours = found.filter(|i| {
+        let own_write = found.filter(|i| {
             let found = serde_json::from_slice::<KeyRecord>(&i.value);
             found.is_ok_and(|r| r.attempt == record.attempt)
         });
-        ours.map(|i| i.revision).ok_or(error)
+        own_write.map(|i| i.revision).ok_or(error)
     }
 
+    /// Sends a grant to a server and records its outcome.
     pub(super) async fn grant(self: Rc<Self>, life: Life, addr: SocketAddr, grant: KeyGrant) {
         let limit = KeyTiming::default().grant_limit;
-        let (stored, invariants) = (self.stored.get(), &self.router.process.invariants);
+        let (stored, invariants) = (self.stored_fence.get(), &self.router.process.invariants);
         invariants.check(Invariant::StoredFirst, grant.fence <= stored, || {
             format!("fence={} stored={stored}", grant.fence)
         });
         let control = &self.router.control;
         let started = Instant::now();
-        // This task runs after the one that started it; a process that was stopped in between may have
-        // been replaced, and its order would be one that nobody reckons with.
+        // This task runs after the one that started it. If the process was suspended in between, another host may
+        // lead by now, and that leader does not account for a grant that is sent this late.
         let result = if self.leadership.may_act(&self.router) {
             control.grant(addr, &life.name, &grant, limit).await
         } else {
-            let reason = "not sent: the right to lead is no longer confirmed".to_owned();
+            let reason = "not sent: leadership is no longer confirmed".to_owned();
             Err(KeyError::Silent { reason })
         };
         let (end, name) = match &result {
@@ -114,7 +117,7 @@
         }
         let now = self.router.now();
         if result.is_ok() {
-            self.note_confirmed(now, &life);
+            self.record_grant(now, &life);
         }
         let span = KeyRange {
             first: grant.first,
@@ -122,18 +125,20 @@
         };
         let mut leases = self.leases.borrow_mut();
         leases.granted(now, &life, span, grant.fence, end);
-        self.ended.notify();
+        self.call_ended.notify();
     }
 
-    /// Notes a confirmed grant, and logs one that came late: half of a hold after the one before.
-    fn note_confirmed(&self, now: Millis, life: &Life) {
-        let before = self.confirmed.borrow_mut().insert(life.clone(), now);
-        let late = before.map_or(Millis::ZERO, |at| now.since(at));
-        if late > Millis(KeyTiming::default().hold.0 / 2) {
-            log::info!(server:% = life, service:% = self.service, after_ms = late.0; "renewed_late");
+    /// Records the time of a confirmed grant, and logs one that is late: more than half of a key lease after the
+    /// previous one.
+    fn record_grant(&self, now: Millis, life: &Life) {
+        let before = self.last_grants.borrow_mut().insert(life.clone(), now);
+        let gap = before.map_or(Millis::ZERO, |at| now.since(at));
+        if gap > Millis(KeyTiming::default().hold.0 / 2) {
+            log::info!(server:% = life, service:% = self.service, after_ms = gap.0; "renewed_late");
         }
     }
 
+    /// Sends a release to a server and records its outcome.
     pub(super) async fn release(self: Rc<Self>, life: Life, addr: SocketAddr, grant: KeyGrant) {
         let limit = KeyTiming::default().release_limit;
         let control = &self.router.control;
@@ -153,7 +158,7 @@
             last: grant.last,
         };
         self.leases.borrow_mut().released(now, &life, span, end);
-        self.ended.notify();
+        self.call_ended.notify();
     }
 
     fn count(&self, call: &str, result: &str, started: Instant) {
--- a/crates/chicoryrail-router/src/control/leader/keep_keys.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -1,4 +1,4 @@
-//! Keeps the keys of keyed services while this host leads.
+//! Assigns and renews the keys of keyed services while this host leads.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,19 +20,20 @@
 use chicoryrail_runtime::Signal;
 use monoio::time::timeout;
 
-use crate::control::config_feed::follow::call;
+use crate::control::config_feed::follow::store_call;
 use crate::control::leader::leader_term::LeaderTerm;
 use crate::control::scheduling;
 use crate::state::Router;
 
-/// Time between two looks at what is due, while something changes and while nothing does.
+/// Time between two checks for due actions, while assignments change and while they don't.
 const BUSY_CHECK_INTERVAL: Millis = Millis(10);
 const CALM_CHECK_INTERVAL: Millis = Millis(50);
 
-/// Time after an outage in which grants for its time may still be held: such a grant and a renewal in flight.
+/// Time after a store outage in which servers may still own keys by a grant from it: the TTL of such a grant (10 s)
+/// and the time of a renewal in flight.
 const OUTAGE_MEMORY: Millis = Millis(12_500);
 
-/// The leader of one service's keys in one term.
+/// Leader of one service's keys for one term.
 pub(super) struct KeyLeader {
     pub(super) router: Rc<Router>,
     pub(super) leadership: Rc<LeaderTerm>,
@@ -40,38 +41,40 @@
     pub(super) leader_key: String,
     pub(super) service: ServiceName,
     pub(super) leases: RefCell<KeyLeases>,
+    /// Store revision of the record.
     pub(super) revision: Cell<u64>,
-    /// When each server confirmed a grant last.
-    pub(super) confirmed: RefCell<BTreeMap<Life, Millis>>,
-    /// Fence of the record that is in the store.
-    pub(super) stored: Cell<u64>,
-    pub(super) balanced: Cell<Millis>,
+    /// When each server last confirmed a grant.
+    pub(super) last_grants: RefCell<BTreeMap<Life, Millis>>,
+    /// Fencing token of the record in the store.
+    pub(super) stored_fence: Cell<u64>,
+    /// When the assignment was last changed; at first, when this leader took it over.
+    pub(super) balanced_at: Cell<Millis>,
     pub(super) committing: Cell<bool>,
-    /// Notified when a call has ended.
-    pub(super) ended: Signal,
+    /// Notified when a call to the store or a server has ended.
+    pub(super) call_ended: Signal,
 }
 
-/// Keeps the keys of each keyed service, until the term ends.
-pub(crate) async fn keep(
+/// Starts a [`KeyLeader`] for each keyed service, until the term ends.
+pub(crate) async fn lead_keys(
     router: Rc<Router>,
     leadership: Rc<LeaderTerm>,
     term: u64,
     leader_key: String,
 ) {
-    let mut posts: BTreeMap<ServiceName, ()> = BTreeMap::new();
+    let mut started: BTreeMap<ServiceName, ()> = BTreeMap::new();
     while leadership.term.get() == term {
         let keyed: Vec<_> = router.site().map_or_else(Vec::new, |site| {
             let keyed = site.services.iter().filter(|s| s.keyed);
             keyed.map(|s| s.name.clone()).collect()
         });
         for service in keyed {
-            if posts.contains_key(&service) {
+            if started.contains_key(&service) {
                 continue;
             }
             match take_over(&router, &leadership, term, &leader_key, &service).await {
-                Ok(post) => {
-                    posts.insert(service, ());
-                    monoio::spawn(Rc::new(post).run());
+                Ok(leader) => {
+                    started.insert(service, ());
+                    monoio::spawn(Rc::new(leader).run());
                 }
                 Err(e) => log::warn!(service:% = service, error:% = e; "keys_not_read"),
             }
@@ -84,6 +87,11 @@
     format!("{OWN_PREFIX}{}", store_key::record_key(service))
 }
 
+/// Reads the record of a service from the store and takes over its keys.
+///
+/// # Errors
+///
+/// Returns an error if the store does not reply or the record can't be parsed.
 async fn take_over(
     router: &Rc<Router>,
     leadership: &Rc<LeaderTerm>,
@@ -91,7 +99,7 @@
     leader_key: &str,
     service: &ServiceName,
 ) -> Result<KeyLeader, StoreError> {
-    let item = call(
+    let item = store_call(
         router,
         "read_record",
         router.store.item(&record_key(service)),
@@ -107,10 +115,10 @@
     log::info!(service:% = service, term = term, fence = record.fence,
         spans = record.spans.len(), loose = record.loose.len(); "keys_taken_over");
     let now = router.now();
-    let stored = record.fence;
-    let away = router.store_was_away(now, OUTAGE_MEMORY);
+    let stored_fence = record.fence;
+    let after_outage = router.store_was_away(now, OUTAGE_MEMORY);
     let timing = KeyTiming::default();
-    let leases = KeyLeases::take_over(record, timing, now, rand::random(), away);
+    let leases = KeyLeases::take_over(record, timing, now, rand::random(), after_outage);
     Ok(KeyLeader {
         router: Rc::clone(router),
         leadership: Rc::clone(leadership),
@@ -119,11 +127,11 @@
         service: service.clone(),
         leases: RefCell::new(leases),
         revision: Cell::new(revision),
-        confirmed: RefCell::default(),
-        stored: Cell::new(stored),
-        balanced: Cell::new(now),
+        last_grants: RefCell::default(),
+        stored_fence: Cell::new(stored_fence),
+        balanced_at: Cell::new(now),
         committing: Cell::new(false),
-        ended: Signal::default(),
+        call_ended: Signal::default(),
     })
 }
 
@@ -131,16 +139,15 @@
     async fn run(self: Rc<Self>) {
         let mut announced = None;
         while self.leadership.term.get() == self.term {
-            let ended = self.ended.count();
-            let away = self.router.all_lost_store(self.router.now());
-            self.leases.borrow_mut().store_away(away);
-            self.see_servers();
+            let ended = self.call_ended.count();
+            let outage = self.router.all_lost_store(self.router.now());
+            self.leases.borrow_mut().store_away(outage);
+            self.update_servers();
             self.check_reach();
             self.plan();
-            // Looked at right before the orders go out: a process that slept must not act on what it
-            // believed before.
+            // Checked right before the calls are sent: a process that was suspended must not act on outdated state.
             if self.leadership.may_act(&self.router) {
-                self.act();
+                self.run_due_actions();
             }
             let changing = self.leases.borrow().is_changing();
             self.announce(&mut announced);
@@ -153,13 +160,13 @@
                 self.router.process.clock.sleep(CALM_CHECK_INTERVAL).await;
                 continue;
             }
-            // What a call's end allows goes out at once: after a loss of power on all hosts, each range waits for the
-            // call before it, and a pause between them would add up.
-            let _ = timeout(BUSY_CHECK_INTERVAL.duration(), self.ended.after(ended)).await;
+            // The end of a call wakes this loop at once: after a loss of power on all hosts, each range waits for the
+            // call for the range before it, and a pause after each call would add up.
+            let _ = timeout(BUSY_CHECK_INTERVAL.duration(), self.call_ended.after(ended)).await;
         }
     }
 
-    /// Tells the other hosts, and this one, who holds what, where that changed.
+    /// Applies a changed record and its ungranted ranges on this host, and schedules their announcement to the others.
     fn announce(&self, announced: &mut Option<(u64, Vec<KeyRange>)>) {
         let leases = self.leases.borrow();
         let update = (leases.record().fence, leases.blocked());
@@ -173,15 +180,16 @@
         let service = self.router.service(&self.service);
         self.router.key_record(&service, leases.record().clone());
         service.keys.borrow_mut().blocked(fence, blocked.clone());
-        scheduling::keys_moved(&self.router, &service);
+        scheduling::redirect_moved_keys(&self.router, &service);
         service.changed.notify();
-        let mut words = self.leadership.updates.borrow_mut();
-        words.insert(self.service.clone(), (leases.record().clone(), blocked));
-        drop(words);
-        self.leadership.news.notify();
+        let mut updates = self.leadership.key_updates.borrow_mut();
+        updates.insert(self.service.clone(), (leases.record().clone(), blocked));
+        drop(updates);
+        self.leadership.changed.notify();
     }
 
-    fn see_servers(&self) {
+    /// Updates the servers' addresses, and ends the key leases of server starts that a later start replaced.
+    fn update_servers(&self) {
         let now = self.router.now();
         let mut leases = self.leases.borrow_mut();
         let view = self.router.view.borrow();
@@ -195,8 +203,8 @@
         }
     }
 
-    /// Makes way for a host that reaches servers which this one does not; not while the store is away, since
-    /// nobody could take over.
+    /// Steps down if another host reaches servers that this one does not. During a store outage the leader stays,
+    /// since no other host could take over.
     fn check_reach(&self) {
         if !self.router.store_up.get() {
             return;
@@ -212,21 +220,22 @@
         });
         let reach = self.router.reach.borrow();
         let lost = reach.out_of_reach(now, owners, &self.router.peers.borrow());
-        if let Some(dc) = lost.filter(|_| !self.leadership.resigns.get()) {
+        if let Some(dc) = lost.filter(|_| !self.leadership.steps_down.get()) {
             log::warn!(service:% = self.service, term = self.term, dc:% = dc; "leader_makes_way");
-            self.leadership.resigns.set(true);
+            self.leadership.steps_down.set(true);
         }
     }
 
-    fn act(self: &Rc<Self>) {
+    /// Starts the calls that are due, to the store and to servers.
+    fn run_due_actions(self: &Rc<Self>) {
         let now = self.router.now();
-        let duties = self.leases.borrow_mut().due(now);
+        let actions = self.leases.borrow_mut().due(now);
         for owned in self.leases.borrow_mut().take_waited_out() {
             log::info!(server:% = owned.owner, service:% = self.service,
                 first = owned.span.first, last = owned.span.last; "hold_waited_out");
         }
-        for duty in duties {
-            match duty {
+        for action in actions {
+            match action {
                 KeyAction::Commit(record) => {
                     if !self.committing.replace(true) {
                         monoio::spawn(Rc::clone(self).commit(record));
--- a/crates/chicoryrail-router/src/control/leader/leader_term.rs
+++ b/crates/chicoryrail-router/src/control/leader/leader_term.rs
@@ -1,4 +1,4 @@
-//! What this host may do as the leader.
+//! The state of this host's leadership, and the check whether it is still confirmed.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -15,84 +15,88 @@
 use crate::state::Router;
 use crate::talk::ServerPace;
 
-/// Part of the lease, in percent, after which an unconfirmed leader no longer counts on it.
+/// Share of the lease's TTL, in percent, for which a leader relies on its last confirmed renewal.
 const LEASE_TRUSTED_PERCENT: u64 = 80;
 
-/// Age of the other hosts' last heartbeat up to which a leader without the store counts on them: three of their
-/// datagrams. A successor waits for this and a renewal in flight before it moves keys of a server that it
-/// can't reach.
+/// Age up to which a leader that can't reach the store counts the other hosts' last heartbeats: three heartbeat
+/// intervals. A successor waits this long, and for a renewal in flight, before it moves the keys of a server that
+/// it can't reach.
 const HEARTBEAT_AGE_MAX: Millis = Millis(1_300);
 
-/// What this host knows as the leader, and how long it may act as one.
+/// State of this host as the leader, shared by the tasks that act as one.
 #[derive(Debug, Default)]
 pub(crate) struct LeaderTerm {
-    /// Term; 0 while this host does not lead.
+    /// Current term; 0 while this host does not lead.
     pub(crate) term: Cell<u64>,
-    /// When the last confirmed renewal of the lease was sent.
-    pub(crate) confirmed: Cell<Millis>,
-    pub(crate) ttl: Cell<Millis>,
-    /// Whether this host makes way for one that reaches more.
-    pub(crate) resigns: Cell<bool>,
-    /// Records with the keys that are not granted yet.
-    pub(crate) updates: RefCell<BTreeMap<ServiceName, (KeyRecord, Vec<KeyRange>)>>,
-    /// Notified when the key updates change.
-    pub(crate) news: Signal,
-    loads: RefCell<BTreeMap<ServiceName, KeyLoad>>,
-    /// How much servers do, as the hosts say that schedule for them.
-    paces: RefCell<BTreeMap<Life, ServerPace>>,
+    /// When the last renewal of the lease that the store confirmed was sent.
+    pub(crate) confirmed_at: Cell<Millis>,
+    /// TTL of the lease on the leader's key.
+    pub(crate) lease_ttl: Cell<Millis>,
+    /// Whether this host is about to step down in favour of one to which more data centres are reachable.
+    pub(crate) steps_down: Cell<bool>,
+    /// Record of each keyed service, with the ranges that are not granted yet.
+    pub(crate) key_updates: RefCell<BTreeMap<ServiceName, (KeyRecord, Vec<KeyRange>)>>,
+    /// Notified when `key_updates` or the leadership changes.
+    pub(crate) changed: Signal,
+    key_loads: RefCell<BTreeMap<ServiceName, KeyLoad>>,
+    /// Service rates of servers, as reported by the hosts that schedule for them.
+    service_rates: RefCell<BTreeMap<Life, ServerPace>>,
 }
 
 impl LeaderTerm {
-    /// Takes in keys that callers asked for.
-    pub(crate) fn asked(&self, service: &ServiceName, keys: &[u16]) {
-        let mut loads = self.loads.borrow_mut();
+    /// Records keys that callers requested in the service's load.
+    pub(crate) fn record_key_demand(&self, service: &ServiceName, keys: &[u16]) {
+        let mut loads = self.key_loads.borrow_mut();
         let load = loads.entry(service.clone()).or_default();
         for key in keys {
             load.seen(*key);
         }
     }
 
-    /// Takes in how much servers do.
-    pub(crate) fn heard_paces(&self, paces: Vec<ServerPace>) {
-        let mut known = self.paces.borrow_mut();
-        known.extend(paces.into_iter().map(|p| (p.server.clone(), p)));
+    /// Records service rates that a host reported.
+    pub(crate) fn record_service_rates(&self, rates: Vec<ServerPace>) {
+        let mut known = self.service_rates.borrow_mut();
+        known.extend(rates.into_iter().map(|r| (r.server.clone(), r)));
     }
 
-    /// Returns how much a server does; `None` where it was not heard.
-    pub(crate) fn pace(&self, life: &Life) -> Option<ServerPace> {
-        self.paces.borrow().get(life).cloned()
+    /// Returns the service rate of a server; `None` if none was reported.
+    pub(crate) fn service_rate(&self, life: &Life) -> Option<ServerPace> {
+        self.service_rates.borrow().get(life).cloned()
     }
 
-    /// Forgets the paces of servers that are gone.
-    pub(crate) fn keep_paces(&self, is_there: impl Fn(&Life) -> bool) {
-        self.paces.borrow_mut().retain(|life, _| is_there(life));
+    /// Removes the service rates of servers for which `is_known` returns `false`.
+    pub(crate) fn retain_service_rates(&self, is_known: impl Fn(&Life) -> bool) {
+        self.service_rates
+            .borrow_mut()
+            .retain(|life, _| is_known(life));
     }
 
-    /// Calls `f` with the load of a service's keys.
+    /// Calls `f` with the load of a service's keys, decayed to `now`.
     pub(crate) fn with_load<T>(
         &self,
         now: Millis,
         service: &ServiceName,
         f: impl FnOnce(&KeyLoad) -> T,
     ) -> T {
-        let mut loads = self.loads.borrow_mut();
+        let mut loads = self.key_loads.borrow_mut();
         let load = loads.entry(service.clone()).or_default();
         load.age(now);
         f(load)
     }
 
-    /// Tells whether this host may give a server an order as the leader.
+    /// Returns `true` if this host may send grants and releases to servers as the leader.
     ///
-    /// With a lease that was confirmed a moment ago nobody else can lead. Without the store, a leader goes
-    /// on only while it hears most of the hosts and none of them knows of a later one: a successor tells
-    /// all of them before it moves anything. A host that slept finds both grown old when it wakes.
+    /// No other host can lead while the lease was confirmed recently. Without the store, a leader continues only
+    /// while it receives heartbeats from most of the hosts and none of them reports a higher term: a successor
+    /// announces its term to all of them before it moves any key. After a suspension of the process both the
+    /// renewal and the heartbeats are too old.
     pub(crate) fn may_act(&self, router: &Router) -> bool {
         let now = router.now();
         let peers = router.peers.borrow();
         if self.term.get() == 0 || peers.highest_term() > self.term.get() {
             return false;
         }
-        let lease = Millis(self.ttl.get().0 * LEASE_TRUSTED_PERCENT / 100);
-        now.since(self.confirmed.get()) < lease || peers.hears_most(now, HEARTBEAT_AGE_MAX)
+        let lease = Millis(self.lease_ttl.get().0 * LEASE_TRUSTED_PERCENT / 100);
+        now.since(self.confirmed_at.get()) < lease || peers.hears_most(now, HEARTBEAT_AGE_MAX)
     }
 }
--- a/crates/chicoryrail-router/src/control/leader/mod.rs
+++ b/crates/chicoryrail-router/src/control/leader/mod.rs
@@ -1,8 +1,10 @@
-//! Who leads, and who holds which keys. Changes the leader's key, key records and the servers' leases.
+//! Leader election, and the leader's assignment of keys to servers.
+//!
+//! Only this module changes the leader's key, the key records and the servers' key leases.
 
 mod elect;
-mod keep_keys;
 mod key_calls;
+mod key_leader;
 mod leader_term;
 mod plan_keys;
 
--- a/crates/chicoryrail-router/src/control/leader/plan_keys.rs
+++ b/crates/chicoryrail-router/src/control/leader/plan_keys.rs
@@ -1,4 +1,4 @@
-//! When the leader plans other holders of a service's keys, and which servers may be holders.
+//! Plans the assignment of a service's keys to servers: when it changes, and which servers are candidates.
 
 use std::collections::BTreeSet;
 
@@ -8,99 +8,101 @@
 use chicoryrail_ownership::keys::Moves;
 use chicoryrail_ownership::keys::Plan;
 
-use crate::control::leader::keep_keys::KeyLeader;
+use crate::control::leader::key_leader::KeyLeader;
 use crate::state::Target;
 
-/// Time between two moves of boundaries for balance. The load that a cut follows is that of the last few
-/// seconds, and each cut holds the moved keys' requests for as long as work on them is running.
+/// Least time between two moves of range boundaries that balance load. A plan uses the load of the last few seconds,
+/// and each move delays the moved keys' requests until the running work on these keys has ended.
 const BALANCE_INTERVAL: Millis = Millis(2_500);
 
-/// Time between two moves that relieve a server which has far too much. A range of keys that grew busy a moment ago
-/// shows in part at first; what is left of it is moved with the next.
+/// Least time between two moves that relieve an overloaded server. Only a part of the load is visible just after a
+/// range of keys became busy; the next move handles the rest.
 const RELIEF_INTERVAL: Millis = Millis(400);
 
-/// Time after a change at which the record is written again without the former holders that hold nothing any more.
-/// Left in it, a leader that takes over waits for them as long as for any, and keys that nobody holds stay unserved.
+/// Time after a change at which the record is rewritten without the former owners whose key leases have ended. If
+/// they stayed in it, the next leader would wait for them as for any owner, and keys without an owner would stay
+/// unserved.
 const MERGE_INTERVAL: Millis = Millis(1_000);
 
-/// Least weight of a server that takes next to nothing: it keeps a few keys, by whose requests it can say that it takes
-/// more again.
+/// Least weight of a server whose limit is close to zero. It keeps a few keys, and the responses to their requests
+/// show when its limit rises again.
 const LIMITED_WEIGHT_MIN: f64 = 0.05;
 
-/// Time for which a server must have been known before it gets keys. Servers come in groups, at the start
-/// and with each release, and every change of the record is told to every host.
-const LOAD_SETTLE_TIME: Millis = Millis(400);
+/// Time for which a server must be known before it is assigned keys. Servers start in groups, at the first start
+/// and with each release, and every change of the record is sent to every host.
+const SERVER_SETTLE_TIME: Millis = Millis(400);
 
 impl KeyLeader {
-    /// Plans other holders where servers came or went, or the load lies badly.
+    /// Plans a new assignment if the set of candidates changed or the load is unbalanced.
     pub(super) fn plan(&self) {
         let now = self.router.now();
         if self.leases.borrow().is_writing() {
             return;
         }
-        let holders = self.holders(now);
-        // Former holders that can't be reached keep their keys for many seconds after an outage. The others' load is
-        // balanced meanwhile, or a range that grows busy would overload its server for as long.
-        let moves = match now.since(self.balanced.get()) {
+        let candidates = self.candidates(now);
+        // After an outage, former owners that can't be reached keep their key leases for many seconds. The load of the
+        // others is balanced meanwhile; otherwise a range that becomes busy would overload its server for that time.
+        let moves = match now.since(self.balanced_at.get()) {
             since if since >= BALANCE_INTERVAL => Moves::Balance,
             since if since >= RELIEF_INTERVAL => Moves::Urgent,
             _ => Moves::Needed,
         };
         let plan = self.leadership.with_load(now, &self.service, |load| {
-            Plan::of(self.leases.borrow().record(), &holders, load, moves)
+            Plan::of(self.leases.borrow().record(), &candidates, load, moves)
         });
         if let Plan::Change(spans) = plan {
-            self.balanced.set(now);
+            self.balanced_at.set(now);
             let services = self.router.services();
-            let there = |life: &Life| services.iter().any(|s| s.target(life).is_some());
-            self.leadership.keep_paces(there);
-            log::info!(service:% = self.service, servers = holders.len(),
+            let is_known = |life: &Life| services.iter().any(|s| s.target(life).is_some());
+            self.leadership.retain_service_rates(is_known);
+            log::info!(service:% = self.service, servers = candidates.len(),
                 spans = spans.len(), fence = self.leases.borrow().record().fence; "keys_planned");
             self.leases.borrow_mut().change(spans, rand::random());
-        } else if now.since(self.balanced.get()) >= MERGE_INTERVAL
+        } else if now.since(self.balanced_at.get()) >= MERGE_INTERVAL
             && self.leases.borrow().is_untidy()
         {
-            self.balanced.set(now);
+            self.balanced_at.set(now);
             let spans = self.leases.borrow().record().spans.clone();
             self.leases.borrow_mut().change(spans, rand::random());
         }
     }
 
-    /// Returns the servers that may hold keys: those that take work, are warm and answer; cold ones
-    /// where there is no other.
-    fn holders(&self, now: Millis) -> Vec<Holder> {
+    /// Returns the servers that may be assigned keys, sorted: those that are ready, respond and are warmed up. If there
+    /// are none, servers that are warming up are included.
+    fn candidates(&self, now: Millis) -> Vec<Holder> {
         let service = self.router.service(&self.service);
         let targets = service.targets.borrow();
         let leases = self.leases.borrow();
         let owners: BTreeSet<&Life> = leases.record().spans.iter().map(|s| &s.owner).collect();
-        let open = |cold: bool| -> Vec<Holder> {
-            let open = targets.values().filter(|t| t.is_ready());
-            let open = open.filter(|t| !leases.is_lost(now, &t.life));
-            let holds = |life: &Life| owners.contains(life);
-            let open = open.filter(|t| holds(&t.life) || now.since(t.known) >= LOAD_SETTLE_TIME);
-            let warm = open.filter(|t| cold || !t.is_cold(now) || holds(&t.life));
-            let mut holders: Vec<_> = warm
+        let select = |include_warmup: bool| -> Vec<Holder> {
+            let ready = targets.values().filter(|t| t.is_ready());
+            let ready = ready.filter(|t| !leases.is_lost(now, &t.life));
+            let owns = |life: &Life| owners.contains(life);
+            let ready = ready.filter(|t| owns(&t.life) || now.since(t.known) >= SERVER_SETTLE_TIME);
+            let warm = ready.filter(|t| include_warmup || !t.is_cold(now) || owns(&t.life));
+            let mut candidates: Vec<_> = warm
                 .map(|t| Holder {
                     life: t.life.clone(),
                     weight: self.weight(t),
                 })
                 .collect();
-            holders.sort_by(|a, b| a.life.cmp(&b.life));
-            holders
+            candidates.sort_by(|a, b| a.life.cmp(&b.life));
+            candidates
         };
-        let warm = open(false);
-        if warm.is_empty() { open(true) } else { warm }
+        let warm = select(false);
+        if warm.is_empty() { select(true) } else { warm }
     }
 
-    /// Returns the work that a server can do, by what the hosts saw of it that schedule for it. A slow server with as many
-    /// requests as the others has the longest queue of all, and a limited one refuses what is beyond its limit.
+    /// Returns the capacity of a server, in slots of a server of usual speed, by the service rate that the hosts which
+    /// schedule for it report. A slow server with as many requests as the others would have the longest queue, and a
+    /// rate-limited one refuses requests beyond its limit.
     fn weight(&self, target: &Target) -> f64 {
         let slots = f64::from(target.slots.get());
-        let Some(pace) = self.leadership.pace(&target.life) else {
+        let Some(rate) = self.leadership.service_rate(&target.life) else {
             return slots;
         };
-        let weight = slots / f64::from(pace.speed).clamp(0.5, 2.0);
-        let limited = pace.limited_slots.map_or(weight, f64::from);
+        let weight = slots / f64::from(rate.speed).clamp(0.5, 2.0);
+        let limited = rate.limited_slots.map_or(weight, f64::from);
         limited.max(LIMITED_WEIGHT_MIN).min(weight)
     }
 }
--- a/crates/chicoryrail-router/src/control/membership/mod.rs
+++ b/crates/chicoryrail-router/src/control/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which hosts form the core, and from whom this host hears what the store says. Changes the source, and nothing else.
+//! Membership of the core, and the choice of this host's source of store data. Changes only the source.
 
 mod presence;
 mod source;
--- a/crates/chicoryrail-router/src/control/membership/presence.rs
+++ b/crates/chicoryrail-router/src/control/membership/presence.rs
@@ -1,4 +1,4 @@
-//! Lists a core host in the store, so that the others find it.
+//! Registration of a core host in the store, where the other hosts discover it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,24 +10,24 @@
 use chicoryrail_platform::StoreError;
 use chicoryrail_platform::Txn;
 
-use crate::control::config_feed::follow::call;
+use crate::control::config_feed::follow::store_call;
 use crate::control::membership::source::join_core;
 use crate::state::Router;
 
-/// Lease of a host's key. A host that is gone is only one more address to send datagrams to, so the lease
-/// is long and its renewals are few.
+/// TTL of the store lease on a host's key. A lost host costs the others only datagrams to its address, so the TTL is
+/// long and renewals are rare.
 const HOST_LEASE: Millis = Millis(10_000);
 const HOST_RENEWAL_INTERVAL: Millis = Millis(3_000);
 
-/// The same at a host that watches the store for others. Its renewals show that the store answers it; a watch that
-/// was cut off looks like one without news.
+/// Renewal interval of a host that watches the store for others. The renewals show whether the store still replies;
+/// a watch alone does not, since one whose connection was lost looks like one without changes.
 const WATCHER_RENEWAL_INTERVAL: Millis = Millis(500);
 
-/// Pause after a call that failed.
+/// Pause after a failed registration or renewal.
 const RETRY_INTERVAL: Millis = Millis(500);
 
-/// Waits until this host is to be a core host, and then keeps its key in the store, with the address of its talk
-/// with the others.
+/// Waits until this host should be a core host, and then keeps its key in the store. The key's value holds `addr`, the
+/// address for datagrams from other hosts, and the host's power.
 pub(crate) async fn be_present(router: Rc<Router>, addr: SocketAddr) {
     join_core(&router).await;
     log::info!(power = router.power(); "core_host");
@@ -36,7 +36,7 @@
     loop {
         let result = match lease {
             None => register(&router, addr).await.map(|id| lease = Some(id)),
-            Some(id) => call(&router, "presence", router.store.keep_lease(id)).await,
+            Some(id) => store_call(&router, "presence", router.store.keep_lease(id)).await,
         };
         let pause = match result {
             Ok(()) if router.source.watches() => WATCHER_RENEWAL_INTERVAL,
@@ -52,13 +52,14 @@
     }
 }
 
+/// Writes the host's key under a new lease; returns the lease's id.
 async fn register(router: &Router, addr: SocketAddr) -> Result<u64, StoreError> {
-    let lease = call(router, "open_lease", router.store.open_lease(HOST_LEASE)).await?;
+    let lease = store_call(router, "open_lease", router.store.open_lease(HOST_LEASE)).await?;
     let key = format!("{OWN_PREFIX}{}", host_key(&router.boot().host));
     let power = router.power();
     let value = CoreHost { addr, power }.to_value();
     let txn = Txn::default().put_leased(&key, value.as_bytes(), lease.id);
-    call(router, "register", router.store.commit(&txn)).await?;
+    store_call(router, "register", router.store.commit(&txn)).await?;
     log::info!(addr:% = addr, lease = lease.id; "present");
     Ok(lease.id)
 }
--- a/crates/chicoryrail-router/src/control/membership/source.rs
+++ b/crates/chicoryrail-router/src/control/membership/source.rs
@@ -1,4 +1,4 @@
-//! Decides from whom this host hears what the store says.
+//! Selects the source from which this host gets store data: the store itself, or another host as relay.
 
 use std::rc::Rc;
 
@@ -11,41 +11,42 @@
 use rand::Rng;
 
 use crate::control::config_feed::follow::LIVE;
-use crate::control::config_feed::follow::note;
-use crate::control::config_feed::follow::take_snapshot;
+use crate::control::config_feed::follow::apply_snapshot;
+use crate::control::config_feed::follow::record_store_call;
 use crate::state::Router;
 use crate::state::Source;
 
-/// Time between two looks.
+/// Time between two checks of the source.
 const SOURCE_CHECK_INTERVAL: Millis = Millis(50);
 
-/// Time after the list of core hosts was read in which they hear each other, so that not each of them starts by
-/// watching the store.
+/// Time after reading the list of core hosts in which they exchange first heartbeats. Without it each of them would
+/// start by watching the store.
 const PEER_DISCOVERY_TIME: Millis = Millis(150);
 
-/// Time without a reply of any core host after which a leaf host goes to the store, and the time over which leaf
-/// hosts that lost their relays together spread that.
+/// Time without a reply from any core host after which a leaf host watches the store itself, and the largest random
+/// addition to it. The addition spreads the calls of leaf hosts that lost their relays at the same time.
 const RELAY_SILENCE_MAX: Millis = Millis(1_500);
 const RELAY_SILENCE_JITTER: Millis = Millis(1_000);
 
-/// At the first start of all hosts, the time over which strong ones look who is there, and after which weak ones
-/// do: the strong ones are listed by then.
+/// At the first start of all hosts, the largest random delay before a host reads the list of core hosts, and the
+/// further delay of weak hosts. The strong hosts are listed by then.
 const FIRST_START_JITTER: Millis = Millis(500);
 const FIRST_START_WEAK_DELAY: Millis = Millis(1_000);
 
-/// Time between two looks of a weak host whether more core hosts are needed, at least and over which they spread.
+/// Least time between two checks of a host outside the core whether more core hosts are needed, and the largest random
+/// addition to it.
 const CORE_CHECK_INTERVAL: Millis = Millis(1_000);
 const CORE_CHECK_JITTER: Millis = Millis(2_000);
 
 /// Pause after a failed read of the core hosts.
 const READ_RETRY_INTERVAL: Millis = Millis(200);
 
-/// Keeps the choice of the source up to date.
+/// Selects the source again at short intervals, and notifies the tasks that use it when it changes.
 pub(crate) async fn choose_source(router: Rc<Router>) {
     let spread = rand::rng().random_range(0..RELAY_SILENCE_JITTER.0);
-    let alone = RELAY_SILENCE_MAX + Millis(spread);
+    let relay_timeout = RELAY_SILENCE_MAX + Millis(spread);
     loop {
-        let source = choose(&router, alone);
+        let source = preferred_source(&router, relay_timeout);
         let state = &router.source;
         if state.source.get() != source {
             log::info!(source:? = source, core = state.core.get(); "source");
@@ -56,7 +57,7 @@
     }
 }
 
-fn choose(router: &Router, alone: Millis) -> Source {
+fn preferred_source(router: &Router, relay_timeout: Millis) -> Source {
     let now = router.now();
     let state = &router.source;
     let Some(listed) = state.listed.get() else {
@@ -74,14 +75,15 @@
         let watcher = peers.watcher_for(now, &boot.host, &boot.dc);
         return watcher.map_or(Source::Store, Source::Relay);
     }
-    if now.since(state.replied.get().max(listed)) > alone {
+    if now.since(state.replied.get().max(listed)) > relay_timeout {
         return Source::Store;
     }
     let relay = peers.core_for(now, &boot.host, &boot.dc);
     relay.map_or(state.source.get(), Source::Relay)
 }
 
-/// Returns once this host is to be a core host.
+/// Returns when this host should be a core host. A strong host that is needed at its first check returns at once; any
+/// other returns when two checks in a row show the need.
 pub(crate) async fn join_core(router: &Rc<Router>) {
     let strong = is_strong(router.power());
     if router.boot().first_start {
@@ -94,15 +96,16 @@
         router.process.clock.sleep(wait).await;
     }
     loop {
-        if !read_core(router).await {
+        if !read_core_hosts(router).await {
             router.process.clock.sleep(READ_RETRY_INTERVAL).await;
             continue;
         }
         if strong && is_needed(router) {
             return;
         }
-        // One that lacks others waits for a while, and looks again: many may lack them at once.
-        let mut lacked = false;
+        // Many hosts may see the need for more core hosts at once. So a host joins only if it sees the need again at
+        // the next check, after a random delay, when others may have joined.
+        let mut needed_before = false;
         loop {
             let spread = rand::rng().random_range(0..CORE_CHECK_JITTER.0);
             router
@@ -111,35 +114,35 @@
                 .sleep(CORE_CHECK_INTERVAL + Millis(spread))
                 .await;
             let needed = is_needed(router);
-            if needed && lacked {
+            if needed && needed_before {
                 break;
             }
-            lacked = needed;
+            needed_before = needed;
         }
-        if read_core(router).await && is_needed(router) {
+        if read_core_hosts(router).await && is_needed(router) {
             return;
         }
     }
 }
 
-/// Reads the core hosts from the store.
-async fn read_core(router: &Rc<Router>) -> bool {
+/// Reads the core hosts from the store; returns whether the call succeeded.
+async fn read_core_hosts(router: &Rc<Router>) -> bool {
     match router.store.snapshot(&LIVE.prefix()).await {
         Ok(all) => {
-            note(router, "snapshot", None);
-            take_snapshot(router, LIVE, &all);
+            record_store_call(router, "snapshot", None);
+            apply_snapshot(router, LIVE, &all);
             let listed = router.source.listed.get().unwrap_or(router.now());
             router.source.listed.set(Some(listed));
             true
         }
         Err(e) => {
-            note(router, "snapshot", Some(&e));
+            record_store_call(router, "snapshot", Some(&e));
             false
         }
     }
 }
 
-/// Tells whether this host should be a core host, by those that the store lists.
+/// Returns `true` if this host should be a core host beside those that the store lists.
 fn is_needed(router: &Router) -> bool {
     let view = router.view.borrow();
     if view.own(&host_key(&router.boot().host)).is_some() {
--- a/crates/chicoryrail-router/src/control/mod.rs
+++ b/crates/chicoryrail-router/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! What hosts do together: who is there, who hears what from whom, who leads, who schedules, who may spend what.
+//! Coordination between hosts: membership, distribution of store data, leader election, request scheduling and
+//! organisations' quotas.
 
 mod config_feed;
 mod gossip;
--- a/crates/chicoryrail-router/src/control/quota/leases.rs
+++ b/crates/chicoryrail-router/src/control/quota/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of organisations' tokens between the leader and the hosts that schedule.
+//! Leases of organisations' quota tokens from the leader to the hosts that schedule.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,17 +18,17 @@
 use crate::talk::QuotaGrants;
 use crate::talk::QuotaReports;
 
-/// Time between two reports of a host to the leader, and the least where an organisation runs low on tokens.
+/// Time between two reports of a host to the leader, and the least time when an organisation's tokens run low.
 const REPORT_INTERVAL: Millis = Millis(100);
 const REPORT_INTERVAL_LOW: Millis = Millis(20);
 
-/// Time between two looks whether there is a limit to report on.
+/// Time between two checks whether there is a limit to report on.
 const IDLE_INTERVAL: Millis = Millis(250);
 
-/// Organisations of one report; it should fit into one packet.
+/// Largest number of organisations in one report, so that the datagram fits into one packet.
 const ORGANISATIONS_PER_REPORT: usize = 24;
 
-/// The tokens that this host gives out while it leads.
+/// Token pools of all limited organisations, from which this host grants tokens while it leads.
 #[derive(Debug, Default)]
 pub(crate) struct QuotaPools {
     state: RefCell<PoolState>,
@@ -37,18 +37,22 @@
 #[derive(Debug, Default)]
 struct PoolState {
     term: u64,
-    /// When the first report of the term came.
-    since: Millis,
+    /// When the first report of the term was received.
+    started: Millis,
     pools: BTreeMap<OrganisationName, QuotaPool>,
-    /// When each host reported last.
-    heard: BTreeMap<HostName, Millis>,
+    /// When each host last reported. Standalone hosts, which spend their own share of the limits, are left out.
+    last_reports: BTreeMap<HostName, Millis>,
 }
 
 impl QuotaPools {
-    /// Takes in what a host reports, and returns what it is given; `None` while this host does not lead.
+    /// Applies a host's report and returns the tokens granted to it; `None` while this host does not lead.
     ///
-    /// A new leader begins with empty pools: what the one before it gave out may still be spent.
-    pub(crate) fn report(&self, router: &Router, reports: &QuotaReports) -> Option<QuotaGrants> {
+    /// A new leader starts with empty pools, since tokens that its predecessor granted may still be spent.
+    pub(crate) fn handle_report(
+        &self,
+        router: &Router,
+        reports: &QuotaReports,
+    ) -> Option<QuotaGrants> {
         let term = router.leads.get();
         if term == 0 || router.site().is_none() {
             return None;
@@ -58,18 +62,20 @@
         if state.term != term {
             *state = PoolState {
                 term,
-                since: now,
+                started: now,
                 ..PoolState::default()
             };
         }
         if reports.lone {
-            state.heard.remove(&reports.host);
+            state.last_reports.remove(&reports.host);
         } else {
-            state.heard.insert(reports.host.clone(), now);
+            state.last_reports.insert(reports.host.clone(), now);
         }
-        state.heard.retain(|_, at| now.since(*at) <= LONE_AFTER);
+        state
+            .last_reports
+            .retain(|_, at| now.since(*at) <= LONE_AFTER);
         let schedulers = router.peers.borrow().schedulers_count();
-        let heard_part = state.heard.len() as f64 / schedulers as f64;
+        let heard_part = state.last_reports.len() as f64 / schedulers as f64;
         let allowance = router.quota_allowance();
         let mut grants = Vec::new();
         for (name, report) in &reports.reports {
@@ -83,11 +89,11 @@
                 schedulers,
                 heard_part,
             };
-            let since = state.since;
+            let started = state.started;
             let pools = &mut state.pools;
             let pool = pools
                 .entry(name.clone())
-                .or_insert_with(|| QuotaPool::from(since));
+                .or_insert_with(|| QuotaPool::from(started));
             let grant = pool.report(now, &reports.host, *report, &bound);
             grants.push((name.clone(), grant));
         }
@@ -95,7 +101,7 @@
     }
 }
 
-/// Reports this host's use of tokens to the leader at intervals, and at once where one runs low.
+/// Reports this host's use of tokens to the leader at intervals, and sooner when an organisation's tokens run low.
 pub(crate) async fn report_use(router: Rc<Router>, pools: Rc<QuotaPools>) {
     loop {
         if !router.source.core.get() || !router.quota.has_limits() {
@@ -106,14 +112,14 @@
         router.process.clock.sleep(REPORT_INTERVAL_LOW).await;
         let left = REPORT_INTERVAL - REPORT_INTERVAL_LOW;
         let _ = timeout(left.duration(), router.quota.low.after(low)).await;
-        report(&router, &pools).await;
+        send_reports(&router, &pools).await;
     }
 }
 
-async fn report(router: &Rc<Router>, pools: &QuotaPools) {
+async fn send_reports(router: &Rc<Router>, pools: &QuotaPools) {
     let mut reports = router.quota.reports(router);
     let leader = router.peers.borrow().leader_addr();
-    // An empty report tells the leader that it is heard.
+    // Sent even if it is empty: the report shows the leader that this host receives its grants.
     loop {
         let rest = reports.split_off(reports.len().min(ORGANISATIONS_PER_REPORT));
         let packet = QuotaReports {
@@ -121,7 +127,7 @@
             lone: router.quota.is_lone(router.now()),
             reports,
         };
-        if let Some(grants) = pools.report(router, &packet) {
+        if let Some(grants) = pools.handle_report(router, &packet) {
             router.quota.granted(router.now(), &grants.grants);
         } else if let Some(leader) = leader {
             let packet = Packet::QuotaReports(packet);
@@ -134,20 +140,21 @@
     }
 }
 
-/// Answers another host's report, while this host leads.
-pub(crate) fn answer_report(
+/// Replies to another host's report with grants while this host leads.
+pub(crate) fn reply_to_report(
     router: &Rc<Router>,
     pools: &QuotaPools,
     reports: &QuotaReports,
     from: SocketAddr,
 ) {
-    if let Some(grants) = pools.report(router, reports) {
+    if let Some(grants) = pools.handle_report(router, reports) {
         router.talk.post(Packet::QuotaGrants(grants), from);
     }
 }
 
-/// Takes in what the leader gave. One that was replaced may not know it yet, and its tokens count twice.
-pub(crate) fn take_grants(router: &Router, grants: &QuotaGrants) {
+/// Applies the leader's grants. Grants of an older term are ignored: a leader that was replaced may not know it yet,
+/// and the new leader would grant the same tokens again.
+pub(crate) fn apply_grants(router: &Router, grants: &QuotaGrants) {
     if grants.term >= router.peers.borrow().highest_term() {
         router.quota.granted(router.now(), &grants.grants);
     }
--- a/crates/chicoryrail-router/src/control/quota/mod.rs
+++ b/crates/chicoryrail-router/src/control/quota/mod.rs
@@ -1,8 +1,8 @@
-//! How many requests of an organisation run over all hosts. Changes tokens alone.
+//! Rate limits of organisations over all hosts. Changes only quota tokens.
 
 mod leases;
 
 pub(crate) use leases::QuotaPools;
-pub(crate) use leases::answer_report;
+pub(crate) use leases::apply_grants;
+pub(crate) use leases::reply_to_report;
 pub(crate) use leases::report_use;
-pub(crate) use leases::take_grants;
--- a/crates/chicoryrail-router/src/control/scheduling/upkeep.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
@@ -1,4 +1,4 @@
-//! What a host that schedules does at intervals, whatever is asked of it.
+//! Periodic work of a host that schedules: waiting requests, rendezvous hashing and log lines.
 
 use std::rc::Rc;
 
@@ -10,25 +10,25 @@
 use crate::talk::PartName;
 use crate::talk::ServerPace;
 
-/// Time between two looks at requests that wait for what no message tells the scheduler: a server that warms up,
-/// rests, or gets its keys.
+/// Time between two polls of waiting requests. It covers changes that no message reports to the scheduler: a server
+/// warms up, ends a pause, or is granted its keys.
 const WAITING_POLL_INTERVAL: Millis = Millis(15);
 
-/// Time between two log lines on how full the schedulers are.
+/// Time between two log lines on each scheduler's utilisation.
 const LOG_INTERVAL: Millis = Millis(1_000);
 
-/// Time between two looks for which servers this host schedules: what it decides by that, the pace of cold servers,
-/// reckons with two schedulers.
+/// Time between two evaluations of which servers this host schedules. It decides the rate of requests to servers that
+/// are warming up, and that rate allows for two hosts that schedule for the same server.
 const RENDEZVOUS_INTERVAL: Millis = Millis(100);
 
-/// Looks at the requests that wait here.
+/// Polls the schedulers for waiting requests, and updates which servers this host schedules.
 pub(crate) async fn tend(router: Rc<Router>) {
     let mut logged = router.now();
-    let mut drawn = (Millis::ZERO, 0);
+    let mut evaluated = (Millis::ZERO, 0);
     loop {
         router.process.clock.sleep(WAITING_POLL_INTERVAL).await;
-        if router.now().since(drawn.0) >= RENDEZVOUS_INTERVAL {
-            drawn = (router.now(), draw(&router, drawn.1));
+        if router.now().since(evaluated.0) >= RENDEZVOUS_INTERVAL {
+            evaluated = (router.now(), update_scheduled(&router, evaluated.1));
         }
         if router.now().since(logged) >= LOG_INTERVAL {
             logged = router.now();
@@ -46,11 +46,11 @@
     waiting.map(|(part, _)| part.clone()).collect()
 }
 
-/// Notes for which servers this host schedules, where hosts or servers changed since the hosts were `before`; returns
-/// the hosts' mark.
-fn draw(router: &Router, before: u64) -> u64 {
-    let mark = router.peers.borrow().schedulers_mark(router.now());
-    let changed = mark != before;
+/// Updates for each server whether this host schedules it, by rendezvous hashing. `previous` identifies the set of
+/// schedulers at the last call: while it is unchanged, only new servers are evaluated. Returns the current one.
+fn update_scheduled(router: &Router, previous: u64) -> u64 {
+    let current = router.peers.borrow().schedulers_mark(router.now());
+    let changed = current != previous;
     for service in router.services() {
         for target in service.targets.borrow().values() {
             if changed || target.ours.get().is_none() {
@@ -59,34 +59,35 @@
             }
         }
     }
-    mark
+    current
 }
 
-/// Returns how much the servers do for which this host schedules.
-pub(crate) fn paces(router: &Router) -> Vec<ServerPace> {
+/// Returns the service rates of the servers with keys that this host schedules.
+pub(crate) fn service_rates(router: &Router) -> Vec<ServerPace> {
     let schedulers = router.schedulers.by_part.borrow();
-    let mut paces = Vec::new();
-    // The leader weighs servers that hold keys, and no others.
+    let mut rates = Vec::new();
+    // The leader uses the rates only to plan the assignment of keys.
     let keyed = router.services().into_iter().filter(|s| s.is_keyed());
     for service in keyed {
         let Some(scheduler) = schedulers.get(&PartName::whole(&service.name)) else {
             continue;
         };
         let targets = service.targets.borrow();
-        let ours = targets.values().filter(|t| t.ours.get() == Some(true));
-        paces.extend(ours.map(|t| ServerPace {
+        let scheduled = targets.values().filter(|t| t.ours.get() == Some(true));
+        rates.extend(scheduled.map(|t| ServerPace {
             server: t.life.clone(),
             speed: scheduler.speed(t.id) as f32,
             limited_slots: scheduler.limited_slots(t.id).map(|s| s as f32),
         }));
     }
-    paces
+    rates
 }
 
-/// Logs how full the schedulers are.
+/// Logs the utilisation of each scheduler.
 fn log_schedulers(router: &Router) {
     for (part, scheduler) in router.schedulers.by_part.borrow().iter() {
         let (busy, slots) = scheduler.filled();
-        log::info!(service:% = part.service, dc:? = part.dc, waiting = scheduler.waiting(), busy = busy, slots = slots; "scheduler");
+        log::info!(service:% = part.service, dc:? = part.dc, waiting = scheduler.waiting(),
+            busy = busy, slots = slots; "scheduler");
     }
 }
--- a/crates/chicoryrail-router/src/control/scheduling/mod.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/mod.rs
@@ -1,13 +1,16 @@
-//! Which request goes to which server, for the parts of services that this host schedules. Changes the schedulers alone.
+//! Assignment of requests to servers, for the parts of services that this host schedules.
+//!
+//! A part is a scheduling partition: the servers of a service, all or those of one data centre, that one host
+//! schedules. Only this module changes the schedulers.
 
+mod maintenance;
 mod overflow;
 mod part_schedulers;
 mod requests;
 mod tokens;
-mod upkeep;
 
+pub(crate) use maintenance::service_rates;
+pub(crate) use maintenance::tend;
 pub(crate) use overflow::free_slots;
 pub(crate) use requests::handle_packet;
-pub(crate) use requests::keys_moved;
-pub(crate) use upkeep::paces;
-pub(crate) use upkeep::tend;
+pub(crate) use requests::redirect_moved_keys;
--- a/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
@@ -1,4 +1,4 @@
-//! The schedulers of parts on this host, and their replies.
+//! The part schedulers of this host: their servers, their pending queries, and replies.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,16 +14,16 @@
 use crate::talk::PartName;
 use crate::talk::SlotReply;
 
-/// Takes in that a caller has left.
-pub(super) fn left(router: &Router, part: &PartName, ticket: u64) {
+/// Removes a request from its scheduler and returns its token: the caller has cancelled it, or it goes elsewhere.
+pub(super) fn remove_query(router: &Router, part: &PartName, ticket: u64) {
     if let Some(scheduler) = router.schedulers.by_part.borrow_mut().get_mut(part) {
         scheduler.leave(ticket);
     }
-    forget(router, ticket);
+    remove_origin(router, ticket);
 }
 
-/// Forgets a request that does not run from here; the token that it had is free again.
-pub(super) fn forget(router: &Router, ticket: u64) -> Option<Origin> {
+/// Removes the origin of a request that this host does not assign to a server, and returns its token to the quota.
+pub(super) fn remove_origin(router: &Router, ticket: u64) -> Option<Origin> {
     let origin = router.schedulers.origins.borrow_mut().remove(&ticket)?;
     if let Some(organisation) = &origin.token {
         router.quota.give_back(organisation);
@@ -31,25 +31,25 @@
     Some(origin)
 }
 
-/// Brings the servers of a part for which requests wait up to date.
-pub(super) fn refresh(router: &Router, part: &PartName) {
+/// Updates the scheduler's servers for a part in which requests wait.
+pub(super) fn refresh_servers(router: &Router, part: &PartName) {
     let service = router.service(&part.service);
     let mut schedulers = router.schedulers.by_part.borrow_mut();
     if let Some(scheduler) = schedulers.get_mut(part).filter(|s| s.waiting() > 0) {
-        set_servers(router, &service, part, scheduler, router.now());
+        sync_servers(router, &service, part, scheduler, router.now());
     }
 }
 
-/// Brings the scheduler's servers in line with what is believed of them. That changes with entries, with answers
-/// (a server says that it is cold) and with time (a leaving one's is over), so it is done for each decision.
-pub(super) fn set_servers(
+/// Updates a scheduler's servers to their current state. The state changes with entries in the store, with responses (a
+/// server reports that it is warming up) and with time (a draining server's time ends), so each decision calls this.
+pub(super) fn sync_servers(
     router: &Router,
     service: &Service,
     part: &PartName,
     scheduler: &mut Scheduler,
     now: Millis,
 ) {
-    let bound = router.cold_bound(&service.name);
+    let cold_bound = router.cold_bound(&service.name);
     let targets = service.targets.borrow();
     let any_ready = targets.values().any(|t| t.is_ready());
     let mut count = 0;
@@ -63,21 +63,21 @@
                 target.may_get(now)
             },
             cold_until: target.cold_until.get(),
-            cold_bound: bound,
+            cold_bound,
             limit: target.limit.get().rate(now),
             near: router.schedulers.dc_number(&target.dc),
             ours: target.ours.get().unwrap_or(false),
         };
         scheduler.set(now, target.id, state);
     }
-    // All targets of the part are among the scheduler's servers, so one too many is gone.
+    // The loop added every target of the part, so any further server of the scheduler no longer exists.
     if scheduler.servers() > count {
         scheduler.retain(|id| targets.values().any(|t| t.id == id));
     }
 }
 
-/// Replies to the host that asked, or to this one.
-pub(super) fn answer(router: &Rc<Router>, to: Option<SocketAddr>, ticket: u64, reply: SlotReply) {
+/// Sends a reply to the host that sent the query; `None` stands for this host.
+pub(super) fn reply_to(router: &Rc<Router>, to: Option<SocketAddr>, ticket: u64, reply: SlotReply) {
     match to {
         Some(addr) => router.talk.post(Packet::SlotReply { ticket, reply }, addr),
         None => {
--- a/crates/chicoryrail-router/src/control/scheduling/requests.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/requests.rs
@@ -1,5 +1,5 @@
-//! Schedules the requests for the servers for which this host was drawn: takes what hosts ask and tell, and says what
-//! becomes of requests.
+//! Handles slot queries and ends of requests for the parts that this host schedules, and replies with the schedulers'
+//! decisions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 use chicoryrail_policy::SlotRequest;
 
 use crate::control::scheduling::overflow;
-use crate::control::scheduling::part_schedulers::answer;
-use crate::control::scheduling::part_schedulers::forget;
-use crate::control::scheduling::part_schedulers::left;
-use crate::control::scheduling::part_schedulers::refresh;
+use crate::control::scheduling::part_schedulers::refresh_servers;
+use crate::control::scheduling::part_schedulers::remove_origin;
+use crate::control::scheduling::part_schedulers::remove_query;
+use crate::control::scheduling::part_schedulers::reply_to;
 use crate::control::scheduling::tokens::take_token;
 use crate::state::Origin;
 use crate::state::Router;
@@ -31,16 +31,18 @@
 use crate::talk::SlotQuery;
 use crate::talk::SlotReply;
 
-/// Takes in what is meant for the host that schedules; `from` is `None` for this host itself. Whoever is asked
-/// schedules: hosts that hear different others draw differently for a moment.
+/// Handles a packet for the host that schedules; `from` is `None` if this host sent it itself.
+///
+/// Any host that receives a query schedules the request: hosts whose views of the others differ select different
+/// schedulers for a moment.
 pub(crate) fn handle_packet(router: &Rc<Router>, packet: &Packet, from: Option<SocketAddr>) {
     match packet {
-        Packet::SlotQuery(asked) => ask(router, asked, from),
-        Packet::SlotEnd(end) => ended(router, end),
-        Packet::Leave { part, ticket } => left(router, part, *ticket),
-        Packet::Rooms(rooms) => {
-            for room in rooms {
-                router.schedulers.heard_room(router.now(), room);
+        Packet::SlotQuery(query) => handle_query(router, query, from),
+        Packet::SlotEnd(end) => handle_end(router, end),
+        Packet::Leave { part, ticket } => remove_query(router, part, *ticket),
+        Packet::Rooms(parts) => {
+            for part in parts {
+                router.schedulers.heard_room(router.now(), part);
             }
         }
         Packet::Heartbeat(_)
@@ -52,72 +54,77 @@
     }
 }
 
-/// Takes in a request that asks.
-fn ask(router: &Rc<Router>, ask: &SlotQuery, from: Option<SocketAddr>) {
+/// Adds a queried request to its scheduler, and replies with a decision or that it waits.
+fn handle_query(router: &Rc<Router>, query: &SlotQuery, from: Option<SocketAddr>) {
     let now = router.now();
-    let service = router.service(&ask.part.service);
-    let ids = ask
+    let service = router.service(&query.part.service);
+    let excluded = query
         .not
         .iter()
         .filter_map(|l| service.target(l).map(|t| t.id));
-    let asked = SlotRequest {
-        ticket: ask.ticket,
-        rank: ask.rank,
-        aim: now + Millis(ask.aim),
-        deadline: now + Millis(ask.left),
-        work_us: ask.work_us as f64,
-        key: ask.key,
-        not: ids.collect(),
-        near: router.schedulers.dc_number(&ask.dc),
-        large: ask.large,
+    let request = SlotRequest {
+        ticket: query.ticket,
+        rank: query.rank,
+        aim: now + Millis(query.aim),
+        deadline: now + Millis(query.left),
+        work_us: query.work_us as f64,
+        key: query.key,
+        not: excluded.collect(),
+        near: router.schedulers.dc_number(&query.dc),
+        large: query.large,
     };
-    if let Some(key) = ask.key.filter(|_| !asks_again(router, ask.ticket)) {
+    if let Some(key) = query.key.filter(|_| !is_pending(router, query.ticket)) {
         service.note_key(key);
     }
-    let given = {
+    let assigned = {
         let mut schedulers = router.schedulers.by_part.borrow_mut();
-        let scheduler = schedulers.entry(ask.part.clone()).or_default();
-        scheduler.ask(now, asked)
+        let scheduler = schedulers.entry(query.part.clone()).or_default();
+        scheduler.ask(now, request)
     };
-    let Ok(token) = take_token(router, ask, from, given.is_some()) else {
+    let Ok(token) = take_token(router, query, from, assigned.is_some()) else {
         return;
     };
     let origin = Origin {
         from,
-        id: ask.id.clone(),
+        id: query.id.clone(),
         token,
     };
     router
         .schedulers
         .origins
         .borrow_mut()
-        .insert(ask.ticket, origin);
-    if let Some(id) = given {
-        // The reply was lost on the way.
-        send_reply(router, &ask.part, ask.ticket, Decision::Send(id));
+        .insert(query.ticket, origin);
+    if let Some(id) = assigned {
+        // The request was assigned before, and the reply was lost.
+        send_decision(router, &query.part, query.ticket, Decision::Send(id));
         return;
     }
-    refresh(router, &ask.part);
-    let may_overflow = ask.part.dc.is_some() && !ask.overflows;
+    refresh_servers(router, &query.part);
+    let may_overflow = query.part.dc.is_some() && !query.overflows;
     if may_overflow
-        && !overflow::has_free(router, &ask.part)
-        && overflow::send_elsewhere(router, ask, from)
+        && !overflow::has_free_slot(router, &query.part)
+        && overflow::redirect_overflow(router, query, from)
     {
         return;
     }
-    decide(router, &ask.part);
-    if router.schedulers.origins.borrow().contains_key(&ask.ticket) {
-        answer(router, from, ask.ticket, SlotReply::Waits);
+    decide(router, &query.part);
+    if router
+        .schedulers
+        .origins
+        .borrow()
+        .contains_key(&query.ticket)
+    {
+        reply_to(router, from, query.ticket, SlotReply::Waits);
     }
 }
 
-/// Tells whether a request has asked before and still waits here.
-fn asks_again(router: &Router, ticket: u64) -> bool {
+/// Returns `true` if an earlier query for a request is still pending here.
+fn is_pending(router: &Router, ticket: u64) -> bool {
     router.schedulers.origins.borrow().contains_key(&ticket)
 }
 
-/// Takes in how a request ended.
-fn ended(router: &Rc<Router>, end: &SlotEnd) {
+/// Applies the end of a request at a server: its slot is free, and the server's estimates are updated.
+fn handle_end(router: &Rc<Router>, end: &SlotEnd) {
     let service = router.service(&end.part.service);
     let Some(target) = service.target(&end.server) else {
         return;
@@ -153,9 +160,10 @@
     poll(router, &end.part);
 }
 
-/// Takes in that keys changed hands: who waits here for a server for which another host schedules is sent there.
-/// Given a server from here, it would come on top of what that host gives it.
-pub(crate) fn keys_moved(router: &Rc<Router>, service: &Service) {
+/// Redirects waiting requests after their keys moved to a server that another host schedules.
+///
+/// If this host assigned them to that server, they would exceed the slots that the other host accounts for.
+pub(crate) fn redirect_moved_keys(router: &Rc<Router>, service: &Service) {
     let part = PartName::whole(&service.name);
     let elsewhere: Vec<u64> = {
         let schedulers = router.schedulers.by_part.borrow();
@@ -173,23 +181,23 @@
         if let Some(scheduler) = router.schedulers.by_part.borrow_mut().get_mut(&part) {
             scheduler.leave(ticket);
         }
-        if let Some(origin) = forget(router, ticket) {
-            answer(router, origin.from, ticket, SlotReply::Elsewhere);
+        if let Some(origin) = remove_origin(router, ticket) {
+            reply_to(router, origin.from, ticket, SlotReply::Elsewhere);
         }
     }
 }
 
-/// Decides what can be decided by what is believed of the servers now.
+/// Updates a part's servers, and decides its waiting requests where possible.
 pub(super) fn poll(router: &Rc<Router>, part: &PartName) {
-    refresh(router, part);
+    refresh_servers(router, part);
     decide(router, part);
 }
 
-/// Decides what can be decided, and tells who asked.
+/// Decides a part's waiting requests where possible, and replies to the hosts that sent the queries.
 fn decide(router: &Rc<Router>, part: &PartName) {
     let now = router.now();
     let service = router.service(&part.service);
-    let verdicts = {
+    let decisions = {
         let mut schedulers = router.schedulers.by_part.borrow_mut();
         let Some(scheduler) = schedulers.get_mut(part).filter(|s| s.waiting() > 0) else {
             return;
@@ -202,14 +210,14 @@
             KeyOwner::Moving | KeyOwner::Nobody => Placement::Moving,
         })
     };
-    for (ticket, verdict) in verdicts {
-        send_reply(router, part, ticket, verdict);
+    for (ticket, decision) in decisions {
+        send_decision(router, part, ticket, decision);
     }
 }
 
-fn send_reply(router: &Rc<Router>, part: &PartName, ticket: u64, verdict: Decision) {
+fn send_decision(router: &Rc<Router>, part: &PartName, ticket: u64, decision: Decision) {
     let service = router.service(&part.service);
-    let reply = match verdict {
+    let reply = match decision {
         Decision::Refuse(after) => SlotReply::Refuse(after.0),
         Decision::Send(id) => {
             let targets = service.targets.borrow();
@@ -221,7 +229,7 @@
     };
     let origin = match reply {
         SlotReply::Send(_) => router.schedulers.origins.borrow_mut().remove(&ticket),
-        _ => forget(router, ticket),
+        _ => remove_origin(router, ticket),
     };
     let Some(origin) = origin else {
         return;
@@ -234,5 +242,5 @@
             slots = slots, waiting = scheduler.map_or(0, Scheduler::waiting);
             "scheduler_refused");
     }
-    answer(router, origin.from, ticket, reply);
+    reply_to(router, origin.from, ticket, reply);
 }
--- a/crates/chicoryrail-router/src/control/scheduling/tokens.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens of organisations' limits for the requests that this host schedules.
+//! Quota tokens of organisations for the requests that this host schedules.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -6,52 +6,55 @@
 use chicoryrail_core::Millis;
 use chicoryrail_core::OrganisationName;
 
-use crate::control::scheduling::part_schedulers::answer;
-use crate::control::scheduling::part_schedulers::left;
+use crate::control::scheduling::part_schedulers::remove_query;
+use crate::control::scheduling::part_schedulers::reply_to;
 use crate::state::Router;
 use crate::state::TokenAnswer;
 use crate::talk::SlotQuery;
 use crate::talk::SlotReply;
 
-/// A request found no token.
+/// No token was available for a request.
 pub(super) struct NoToken;
 
-/// Takes a token for a request that asks for the first time; returns the organisation that it is of.
+/// Takes a token for a new request; returns the organisation whose token the request has, if any.
+///
+/// A request that this host knows keeps its token, and one that is already `assigned` to a server needs none.
 ///
 /// # Errors
 ///
-/// Returns that there is none. The request is forgotten, and `from` is told whether to ask again.
+/// Returns [`NoToken`] if there is none. The request is then removed, and the reply to `from` is either to query again
+/// or a refusal with the time until a token may be available.
 pub(super) fn take_token(
     router: &Rc<Router>,
-    ask: &SlotQuery,
+    query: &SlotQuery,
     from: Option<SocketAddr>,
-    given: bool,
+    assigned: bool,
 ) -> Result<Option<OrganisationName>, NoToken> {
-    if let Some(origin) = router.schedulers.origins.borrow().get(&ask.ticket) {
+    if let Some(origin) = router.schedulers.origins.borrow().get(&query.ticket) {
         return Ok(origin.token.clone());
     }
-    if given {
+    if assigned {
         return Ok(None);
     }
-    let Some(name) = &ask.organisation else {
+    let Some(name) = &query.organisation else {
         return Ok(None);
     };
-    let refused = match router.quota.take(router, name, ask.ticket) {
+    let reply = match router.quota.take(router, name, query.ticket) {
         TokenAnswer::Taken => return Ok(Some(name.clone())),
         TokenAnswer::Wait => SlotReply::Waits,
         TokenAnswer::Refused(after) => {
-            note_refusal(router, ask, name, after);
+            record_refusal(router, query, name, after);
             SlotReply::OverQuota(after.0)
         }
     };
-    left(router, &ask.part, ask.ticket);
-    answer(router, from, ask.ticket, refused);
+    remove_query(router, &query.part, query.ticket);
+    reply_to(router, from, query.ticket, reply);
     Err(NoToken)
 }
 
-fn note_refusal(router: &Router, ask: &SlotQuery, name: &OrganisationName, after: Millis) {
+fn record_refusal(router: &Router, query: &SlotQuery, name: &OrganisationName, after: Millis) {
     let limit = router.quota.limit(name);
-    log::info!(request = ask.id, organisation:% = name,
+    log::info!(request = query.id, organisation:% = name,
         rate = limit.map_or(0.0, |l| l.rate), burst = limit.map_or(0.0, |l| l.burst),
         token_in_ms = after.0; "quota_refused");
     router.counters.over_quota(name);
