--- a/crates/chicoryrail-router/tests/keys.rs
+++ b/crates/chicoryrail-router/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keyed services: each key is served by the one server that holds it.
+//! Keyed services: each key is served by the one server that owns it.
 
 mod support;
 
@@ -17,8 +17,8 @@
 
 const KEYS: [u16; 6] = [0, 9_000, 21_845, 33_000, 50_000, 65_535];
 
-/// Starts two servers with keys, k-1 and k-2, and a host that leads; all keys are held.
-async fn kits(test: &str) -> (World, [Rc<Server>; 2], RouterProcess) {
+/// Starts two servers of the keyed service, k-1 and k-2, and a host that leads; returns when all keys are granted.
+async fn start_keyed(test: &str) -> (World, [Rc<Server>; 2], RouterProcess) {
     let world = World::start(test).await;
     world.configure().await;
     let servers = [
@@ -27,11 +27,14 @@
     ];
     let router = world.router("a").await;
     let held = |key: u16| servers.iter().any(|s| s.holds(key));
-    wait_until("all keys are held", async || KEYS.iter().all(|k| held(*k))).await;
+    wait_until("all keys are granted", async || {
+        KEYS.iter().all(|k| held(*k))
+    })
+    .await;
     (world, servers, router)
 }
 
-/// Two hosts serve all keys; the one server that holds a key gets its requests from both.
+/// Guards against a key with two owners: two hosts must send the requests of a key to the same server.
 #[test]
 fn every_key_has_one_owner() {
     block_on(async {
@@ -44,7 +47,7 @@
         ];
         let routers = [world.router("a").await, world.router("b").await];
         let held = |key| servers.iter().filter(|s| s.holds(key)).count();
-        wait_until("all keys are held", async || {
+        wait_until("all keys are granted", async || {
             KEYS.iter().all(|k| held(*k) == 1)
         })
         .await;
@@ -61,31 +64,31 @@
     });
 }
 
-/// The owner of some keys announces its leave. Its keys are released there and granted to another server;
-/// callers are served all the while.
+/// Guards against keys that stay with a draining owner. They must be released there and granted to the other server,
+/// which then serves their requests.
 #[test]
-fn a_leaving_owner_hands_its_keys_over() {
+fn a_draining_owner_hands_its_keys_over() {
     block_on(async {
-        let (_world, [leaving, stays], router) = kits("handover").await;
-        leaving.fault(TargetFault::Leave);
+        let (_world, [draining, staying], router) = start_keyed("handover").await;
+        draining.fault(TargetFault::Leave);
         wait_until("all keys moved", async || {
-            KEYS.iter().all(|k| stays.holds(*k))
+            KEYS.iter().all(|k| staying.holds(*k))
         })
         .await;
-        assert!(KEYS.iter().all(|k| !leaving.holds(*k)));
-        assert!(leaving.ledger().releases > 0);
+        assert!(KEYS.iter().all(|k| !draining.holds(*k)));
+        assert!(draining.ledger().releases > 0);
         for key in KEYS {
             assert_eq!(router.caller().key(key).await.unwrap().status(), 200);
         }
     });
 }
 
-/// The leading host is killed. Another one takes over before any hold runs out, grants the same keys again
-/// under a higher fence, and callers of the other host see no gap.
+/// Guards against unserved keys after the leader is killed. Another host must take over before any key lease expires,
+/// and renew the same grants under a higher fence; its callers see no interruption.
 #[test]
-fn a_lost_leader_is_replaced_within_the_hold() {
+fn a_lost_leader_is_replaced_within_the_key_lease() {
     block_on(async {
-        let (world, [_k1, _k2], first) = kits("leader").await;
+        let (world, [_k1, _k2], first) = start_keyed("leader").await;
         let second = world.router("b").await;
         assert!(first.log().contains("log=leader_won"));
         first.signal(Signal::SIGKILL);
@@ -99,13 +102,12 @@
     });
 }
 
-/// The store goes away, and then the leading host is lost. Nobody can replace it before the store is back;
-/// its last grants were made for the time of an outage, so callers of the other host are served all the
-/// while.
+/// Guards against unserved keys when the leader is killed during a store outage. No host can replace it before the
+/// store recovers. Its last grants have the longer TTL for outages, so the other host must serve all keys meanwhile.
 #[test]
 fn keys_are_served_when_the_leader_is_lost_in_an_outage() {
     block_on(async {
-        let (world, [_k1, _k2], first) = kits("outage").await;
+        let (world, [_k1, _k2], first) = start_keyed("outage").await;
         let second = world.router("b").await;
         assert!(first.log().contains("log=leader_won"));
         let down = StoreFault::Down {
@@ -115,7 +117,7 @@
             hosts: Vec::new(),
         };
         world.fault(&down).await;
-        // Until both have noticed, and the keys were renewed once more.
+        // Time for both hosts to detect the outage and for one more renewal of the keys.
         monoio::time::sleep(Millis(5_000).duration()).await;
         first.signal(Signal::SIGKILL);
         for _ in 0..60 {
@@ -124,21 +126,21 @@
             }
             monoio::time::sleep(Millis(100).duration()).await;
         }
-        wait_until("the other leads", async || {
+        wait_until("the other host leads", async || {
             second.log().contains("log=leader_won")
         })
         .await;
     });
 }
 
-/// All hosts lose the store, so grants are made for the time of an outage; it returns, and right then every
-/// host is killed. A server that still holds keys so can't be reached, and its entry is gone. The leader of
-/// the hosts that start anew remembers nothing of the outage; it must not give the keys to another server
-/// before they have run out.
+/// Guards against a key with two owners after a restart of all hosts. During a store outage grants have a longer TTL.
+/// When the store recovers, every host is killed. An owner with such a grant can't be reached, and its entry is
+/// removed. The new leader has no record of the outage and must not grant the keys to another server before that TTL
+/// ends.
 #[test]
-fn hosts_that_start_anew_reckon_with_an_outage() {
+fn restarted_hosts_allow_for_an_earlier_outage() {
     block_on(async {
-        let (world, [cut, stays], first) = kits("anew").await;
+        let (world, [unreachable, staying], first) = start_keyed("anew").await;
         let down = StoreFault::Down {
             for_ms: 4_000,
             share: 1.0,
@@ -148,18 +150,18 @@
         world.fault(&down).await;
         monoio::time::sleep(Millis(4_200).duration()).await;
         first.signal(Signal::SIGKILL);
-        cut.is_deaf();
+        unreachable.is_deaf();
         let second = world.spawn("b");
-        wait_until("the other leads", async || {
+        wait_until("the other host leads", async || {
             second.log().contains("log=leader_won")
         })
         .await;
         world.remove("servers/k-1").await;
-        let both = |key: u16| cut.holds(key) && stays.holds(key);
+        let both = |key: u16| unreachable.holds(key) && staying.holds(key);
         let mut moved = false;
         for _ in 0..1_300 {
-            assert!(!KEYS.iter().any(|k| both(*k)), "a key is held twice");
-            moved = KEYS.iter().all(|k| stays.holds(*k));
+            assert!(!KEYS.iter().any(|k| both(*k)), "a key has two owners");
+            moved = KEYS.iter().all(|k| staying.holds(*k));
             if moved {
                 break;
             }
--- a/crates/chicoryrail-router/tests/leaf_hosts.rs
+++ b/crates/chicoryrail-router/tests/leaf_hosts.rs
@@ -1,4 +1,4 @@
-//! Weak hosts that hear from strong ones what the store says, and what their callers see of it.
+//! Leaf hosts: weak hosts that get the store's data from strong ones, and the effect on their callers.
 
 mod support;
 
@@ -12,21 +12,21 @@
 use support::World;
 use support::wait_until;
 
-/// Three strong hosts, which are enough for the core, and a weak one that follows them.
+/// Three strong hosts, which are enough for the core, and a weak host that gets its data from one of them.
 struct Fleet {
     world: World,
     core: Vec<RouterProcess>,
     leaf: RouterProcess,
-    leaving: Rc<Server>,
-    stays: Rc<Server>,
+    removed: Rc<Server>,
+    staying: Rc<Server>,
 }
 
 impl Fleet {
     async fn start(test: &str) -> Self {
         let world = World::start(test).await;
         world.configure().await;
-        let leaving = world.server("i-1", "desk").await;
-        let stays = world.server("i-2", "desk").await;
+        let removed = world.server("i-1", "desk").await;
+        let staying = world.server("i-2", "desk").await;
         let mut core = Vec::new();
         for name in ["a", "b", "c"] {
             core.push(world.router(name).await);
@@ -36,8 +36,8 @@
             world,
             core,
             leaf,
-            leaving,
-            stays,
+            removed,
+            staying,
         }
     }
 
@@ -50,25 +50,25 @@
         self.core.iter().find(named).unwrap()
     }
 
-    /// Lets a server leave, and waits until the leaf host's requests go to the other one only.
-    async fn server_leaves(&self) {
+    /// Removes a server's entry, and checks that the leaf host then sends requests only to the other server.
+    async fn remove_server(&self) {
         self.world.remove("servers/i-1").await;
-        wait_until("the leaf host heard of it", async || {
+        wait_until("the leaf host applied the removal", async || {
             self.leaf.log().contains("server_entry_gone")
         })
         .await;
-        let before = self.leaving.runs();
+        let before = self.removed.runs();
         for _ in 0..10 {
             let answer = self.leaf.caller().get("/read/1").await;
             assert_eq!(answer.unwrap().status(), 200);
         }
-        assert_eq!(self.leaving.runs(), before);
-        assert!(self.stays.runs() >= 10);
+        assert_eq!(self.removed.runs(), before);
+        assert!(self.staying.runs() >= 10);
     }
 }
 
-/// A weak host among strong ones serves its callers, ordinary and keyed requests alike, and hears at once that a
-/// server leaves. It makes no watch of its own: the store would have to answer hundreds of them for each change.
+/// Guards against a weak host that watches the store itself: the store would have to reply to hundreds of watches for
+/// each change. The host must serve ordinary and keyed requests, and learn of a removed server from its relay.
 #[test]
 fn a_weak_host_serves_without_watching_the_store() {
     block_on(async {
@@ -79,31 +79,31 @@
             answer.is_ok_and(|a| a.status() == 200)
         })
         .await;
-        fleet.server_leaves().await;
+        fleet.remove_server().await;
         let log = fleet.leaf.log();
         assert!(!log.contains("log=core_host"));
         assert!(!log.contains("source=Store"));
     });
 }
 
-/// The host that a weak one follows freezes; its connections stay open and say nothing. Within the time that a
-/// leaving server gives, two seconds, the weak host hears from another one that the server leaves.
+/// Guards against a weak host that waits for a frozen relay, whose connections stay open without data. Another relay
+/// must report a removed server within two seconds, the time that a draining server allows for this.
 #[test]
-fn a_weak_host_leaves_a_frozen_relay() {
+fn a_weak_host_replaces_a_frozen_relay() {
     block_on(async {
         let fleet = Fleet::start("frozen-relay").await;
         let relay = fleet.relay();
         relay.signal(Signal::SIGSTOP);
         let limit = Millis(2_000).duration();
-        let heard = monoio::time::timeout(limit, fleet.server_leaves()).await;
+        let removal = monoio::time::timeout(limit, fleet.remove_server()).await;
         relay.signal(Signal::SIGCONT);
-        assert!(heard.is_ok(), "not heard in time");
+        assert!(removal.is_ok(), "the removal was not applied in time");
         assert!(fleet.leaf.log().contains("log=relay_failed"));
     });
 }
 
-/// All strong hosts are killed at the same moment. The weak one serves its callers by what it knows, and after a few
-/// seconds watches the store itself.
+/// Guards against a weak host without any relay: all strong hosts are killed at the same time. The weak host must serve
+/// requests by its last known state, and watch the store itself after a few seconds.
 #[test]
 fn a_weak_host_without_relay_watches_the_store() {
     block_on(async {
@@ -115,7 +115,7 @@
             fleet.leaf.caller().get("/read/1").await.unwrap().status(),
             200
         );
-        fleet.server_leaves().await;
+        fleet.remove_server().await;
         assert!(fleet.leaf.log().contains("source=Store"));
     });
 }
--- a/crates/chicoryrail-router/tests/operator.rs
+++ b/crates/chicoryrail-router/tests/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator does to a real process, and what its callers see of it.
+//! Operator actions on a running router process, and their effect on callers.
 
 mod support;
 
@@ -13,10 +13,10 @@
 use support::World;
 use support::wait_until;
 
-/// The operator changes the settings file and tells the process. Callers see nothing: the process reads
-/// the file again and goes on serving, also on the connections that were open.
+/// Guards against a reload of the settings file on SIGHUP that interrupts a running request, closes an open connection
+/// or ends the process.
 #[test]
-fn a_changed_settings_file_cuts_nobody() {
+fn a_reload_of_settings_interrupts_no_request() {
     block_on(async {
         let world = World::start("hup").await;
         world.configure().await;
@@ -25,21 +25,23 @@
         let mut router = world.router("a").await;
         let caller = router.caller();
         let running = monoio::spawn(async move { (caller.get("/read/1").await, caller) });
-        wait_until("it runs", async || server.ledger().max_busy > 0).await;
+        wait_until("the request runs", async || server.ledger().max_busy > 0).await;
         router.signal(Signal::SIGHUP);
         let (answer, caller) = running.await;
         assert_eq!(answer.unwrap().status(), 200);
         assert_eq!(caller.get("/read/2").await.unwrap().status(), 200);
-        wait_until("it is logged", async || router.log().contains("log=reload")).await;
+        wait_until("the reload is logged", async || {
+            router.log().contains("log=reload")
+        })
+        .await;
         assert_eq!(router.ended(), None);
     });
 }
 
-/// The operator stops the process while a request runs. The balancer is told at once; the request and one
-/// that still comes on the open connection are answered; then the process ends by itself, before the
-/// grace time is over.
+/// Guards against a stop on SIGTERM that loses requests. The process reports at once that it is not ready, answers the
+/// running request and one that arrives later, and exits by itself before the grace period ends.
 #[test]
-fn a_stop_cuts_no_request() {
+fn a_stop_interrupts_no_request() {
     block_on(async {
         let world = World::start("term").await;
         world.configure().await;
@@ -48,7 +50,7 @@
         let mut router = world.router("a").await;
         let caller = router.caller();
         let running = monoio::spawn(async move { caller.post("/order/1").await });
-        wait_until("it runs", async || server.ledger().max_busy > 0).await;
+        wait_until("the request runs", async || server.ledger().max_busy > 0).await;
         router.signal(Signal::SIGTERM);
         monoio::time::sleep(Millis(50).duration()).await;
         assert!(!router.is_ready().await);
@@ -56,22 +58,22 @@
         assert_eq!(late.status(), 200);
         assert_eq!(late.headers()["connection"], "close");
         assert_eq!(running.await.unwrap().status(), 200);
-        wait_until("it ended", async || router.ended().is_some()).await;
+        wait_until("the process exited", async || router.ended().is_some()).await;
         assert_eq!(router.ended(), Some(0));
         assert!(router.log().contains("log=stop "));
     });
 }
 
-/// A server announces its leave, and later another one's entry is deleted. Nothing more goes to either
-/// while there is a third.
+/// Guards against requests to a server that announced that it drains, and to one whose entry was deleted, while a third
+/// server is ready.
 #[test]
-fn a_leaving_server_gets_nothing_more() {
+fn a_draining_or_deleted_server_receives_no_requests() {
     block_on(async {
         let world = World::start("leave").await;
         world.configure().await;
         let draining = world.server("i-1", "desk").await;
         let deleted = world.server("i-2", "desk").await;
-        let stays = world.server("i-3", "desk").await;
+        let staying = world.server("i-3", "desk").await;
         let router = world.router("a").await;
         draining.fault(TargetFault::Leave);
         world.remove("servers/i-2").await;
@@ -79,40 +81,38 @@
         for _ in 0..20 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
-        let runs = [&draining, &deleted, &stays].map(|s| s.runs());
+        let runs = [&draining, &deleted, &staying].map(|s| s.runs());
         assert_eq!(runs, [0, 0, 20]);
     });
 }
 
-/// All connections to the store go silent without a reset, and new ones work a second later. The host's
-/// watch would wait on its dead connection for as long as a watch may last; meanwhile a server leaves.
-/// The next call that is answered shows that the store is back, and the watch begins anew.
+/// Guards against a watch that waits on a dead connection while a server drains. All connections to the store go silent
+/// without a reset, and new ones work 1.5 s later. The next successful call must restart the watch.
 #[test]
-fn a_silent_watch_is_given_up_when_the_store_is_back() {
+fn a_watch_on_a_dead_connection_restarts_when_the_store_recovers() {
     block_on(async {
         let world = World::start("silent").await;
         world.configure().await;
-        let leaving = world.server("i-1", "desk").await;
-        let stays = world.server("i-2", "desk").await;
+        let draining = world.server("i-1", "desk").await;
+        let staying = world.server("i-2", "desk").await;
         let router = world.router("a").await;
         world.fault(&StoreFault::Silent { for_ms: 1_500 }).await;
         monoio::time::sleep(Millis(4_500).duration()).await;
-        leaving.fault(TargetFault::Leave);
+        draining.fault(TargetFault::Leave);
         monoio::time::sleep(Millis(1_000).duration()).await;
         for _ in 0..10 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
-        let runs = [&leaving, &stays].map(|s| s.runs());
+        let runs = [&draining, &staying].map(|s| s.runs());
         assert_eq!(runs, [0, 10]);
     });
 }
 
-/// The store is about to forget its history: for a moment its watches hear nothing, an operator puts a configuration,
-/// and then the watches are cut. One that is sent again at once from the revision of before would hang until the next
-/// change, and callers would be served by the old configuration. Everything is read again instead, within the two
-/// seconds in which a configuration must be in force.
+/// Guards against a configuration change that is missed while the store drops its history. Its watches report nothing
+/// for a moment, the operator writes a configuration, and then the watches are cut. A watch resumed from the old
+/// revision would wait until the next change. A new snapshot must put the configuration in force within two seconds.
 #[test]
-fn a_change_before_the_history_is_forgotten_is_in_force_in_time() {
+fn a_change_before_the_store_drops_its_history_is_in_force_in_time() {
     block_on(async {
         let world = World::start("forgets").await;
         world.configure().await;
@@ -122,15 +122,18 @@
         world.deafen(Millis(500)).await;
         world.configure().await;
         monoio::time::sleep(Millis(2_000).duration()).await;
-        assert!(router.log().contains("version=6"), "not in force");
+        assert!(
+            router.log().contains("version=6"),
+            "the new configuration is not in force"
+        );
     });
 }
 
-/// Another writer leaves an entry of a server that can't be read, and a configuration that can't, and then one
-/// that is older than the one in force. Each is told in one line; callers of everything else are served as
-/// before, also after the entries were written again unchanged.
+/// Guards against invalid entries that affect other traffic: a server's entry and a configuration that can't be parsed,
+/// and a configuration older than the one in force. Each is logged in one line for each write, also for an unchanged
+/// one, and requests are served as before.
 #[test]
-fn entries_that_can_not_be_read_harm_nobody() {
+fn invalid_entries_affect_no_other_traffic() {
     block_on(async {
         let world = World::start("entries").await;
         world.configure().await;
@@ -151,7 +154,7 @@
                        "idle_timeout_ms": 1}}),
             )
             .await;
-        wait_until("all are told", async || {
+        wait_until("all entries are logged", async || {
             let log = router.log();
             log.matches("log=bad_entry").count() >= 3 && log.contains("log=config_not_newer")
         })
@@ -167,12 +170,12 @@
     });
 }
 
-/// The operator's newer tools write a kind of route that this program does not know. The version comes into
-/// force all the same: callers of its other routes and of a route that is new in it are served, and a request
-/// of the unknown kind whose answer is lost is not sent again, since it may be one that runs once. The word
-/// is told once for the version, also when the same version is written again.
+/// Guards against a configuration that is rejected because newer tools wrote an unknown kind of route. The version must
+/// be in force, with its other routes and a new one. A request on the unknown route whose response is lost is not
+/// retried, since it may not be idempotent. The unknown value is logged once for each version, also when it is
+/// rewritten.
 #[test]
-fn an_unknown_kind_of_route_harms_that_route_alone() {
+fn an_unknown_kind_of_route_affects_only_that_route() {
     block_on(async {
         let world = World::start("unknown-kind").await;
         world.configure().await;
@@ -211,9 +214,10 @@
     });
 }
 
-/// A data centre is taken out and back. Its servers get nothing in between.
+/// Guards against requests to servers of a data centre that the operator took out of service, until it is back in
+/// service.
 #[test]
-fn a_data_centre_that_is_out_gets_nothing() {
+fn a_data_centre_out_of_service_receives_no_requests() {
     block_on(async {
         let world = World::start("dc").await;
         world.configure().await;
@@ -230,11 +234,10 @@
     });
 }
 
-/// The operator stops the process, and a read reaches a server that is slower than usual by far. At other
-/// times the read would be tried at another server; now an answer of the first one is waited for, since
-/// breaking it off would be a request lost to the stop.
+/// Guards against a read that is lost because it is abandoned at a slow server while the process stops. At other times
+/// such a read is retried at another server; during a stop the router waits for the first server's response.
 #[test]
-fn a_slow_server_is_waited_for_while_stopping() {
+fn a_stopping_router_waits_for_a_slow_server() {
     block_on(async {
         let world = World::start("slow").await;
         world.configure().await;
@@ -248,15 +251,15 @@
         monoio::time::sleep(Millis(50).duration()).await;
         let answer = router.caller().get("/read/1").await.unwrap();
         assert_eq!(answer.status(), 200);
-        let ran: usize = servers.iter().map(|s| s.runs()).sum();
-        assert_eq!(ran, 1);
+        let runs: usize = servers.iter().map(|s| s.runs()).sum();
+        assert_eq!(runs, 1);
     });
 }
 
-/// The record of who holds which keys is written again and again, as it is where busy keys change. The leader
-/// tells the hosts of it, so none of them is woken by the store, where each call of each host is paid for.
+/// Guards against key records that end the hosts' watches. A record is written often while busy keys move, and every
+/// watch that returns costs a call to the store. The leader sends changed records to the hosts instead.
 #[test]
-fn a_write_of_a_record_wakes_no_host() {
+fn a_write_of_a_key_record_ends_no_watch() {
     block_on(async {
         let world = World::start("wakes").await;
         world.configure().await;
@@ -268,15 +271,15 @@
             world.put("chicoryrail/keys/other", &record(fence)).await;
             monoio::time::sleep(Millis(200).duration()).await;
         }
-        let woken = world.watches().await - before;
-        assert!(woken <= 2, "{woken} watches");
+        let watches = world.watches().await - before;
+        assert!(watches <= 2, "{watches} watches");
     });
 }
 
-/// A host hears no leader, be it that there is none or that its words do not arrive. Another one changed who
-/// holds which keys; the host reads it from the store, and does not send to former holders for long.
+/// Guards against requests to former owners of keys at a host that receives no heartbeats from a leader, because there
+/// is none or they are lost. The host must read changed key records from the store.
 #[test]
-fn a_host_that_hears_no_leader_reads_the_records() {
+fn a_host_without_leader_heartbeats_reads_the_key_records() {
     block_on(async {
         let world = World::start("unheard").await;
         world.configure().await;
@@ -286,7 +289,7 @@
         let router = world.router("a").await;
         for fence in [5, 7] {
             world.put("chicoryrail/keys/kits", &record(fence)).await;
-            wait_until("the record is read", async || {
+            wait_until("the key record is read", async || {
                 router.log().contains(&format!("fence={fence} "))
             })
             .await;
--- a/crates/chicoryrail-router/tests/organisations.rs
+++ b/crates/chicoryrail-router/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations at a real process: whose requests run, what servers learn, and when keys and limits bind.
+//! Organisations at a running router process: API keys, the headers that servers receive, revocation and rate limits.
 
 mod support;
 
@@ -20,22 +20,22 @@
 const SCHOOL_KEY: &str = "school-secret";
 const SHOP_KEY: &str = "shop-secret";
 
-/// Time after which a host that is out of touch serves no key, as the tests' boot file says.
-const REVOKE: Millis = Millis(2_500);
+/// Time without contact to the store after which a host accepts no API key, as set in the tests' boot file.
+const REVOCATION_TIME: Millis = Millis(2_500);
 
-/// Puts organisations; the read route stays open to all where `public`.
-async fn put(world: &World, organisations: Value, public: bool) {
+/// Writes a configuration with these organisations; the read route needs no key if `public`.
+async fn put_organisations(world: &World, organisations: Value, public: bool) {
     let mut config = world.next_config();
     config["tenants"] = organisations;
     config["virtual_hosts"][0]["paths"][0]["public"] = json!(public);
     world.put("op/config", &config).await;
 }
 
-fn both() -> Value {
+fn two_organisations() -> Value {
     json!([{"name": "school", "api_keys": [SCHOOL_KEY]}, {"name": "shop", "api_keys": [SHOP_KEY]}])
 }
 
-/// Sends a request with these headers on a connection of its own.
+/// Sends a request with these headers on a new connection.
 async fn call(router: &RouterProcess, path: &str, headers: &[(&str, &str)]) -> Response<Bytes> {
     let mut request = Request::get(path)
         .header("host", "shop.example")
@@ -55,6 +55,8 @@
     answer.status().as_u16()
 }
 
+/// Guards against requests that run without exactly one valid key, against an organisation that the caller claims by a
+/// header, and against keys that reach servers or the log.
 #[rstest]
 #[case::none(&[], 401)]
 #[case::unknown(&[("Chicoryrail-Key", "other")], 401)]
@@ -65,13 +67,13 @@
 #[case::claims_another(&[("Chicoryrail-Key", SCHOOL_KEY), ("Chicoryrail-Tenant", "shop")], 200)]
 #[case::claims_many(&[("Chicoryrail-Key", SCHOOL_KEY), ("Chicoryrail-Tenant", "shop"), ("chicoryrail-tenant", "x")], 200)]
 #[case::for_this_connection(&[("Chicoryrail-Key", SCHOOL_KEY), ("Connection", "Chicoryrail-Tenant, Chicoryrail-Key")], 200)]
-fn only_a_valid_key_opens_and_servers_learn_whose_it_is(
+fn only_a_valid_key_is_accepted_and_servers_receive_its_organisation(
     #[case] headers: &'static [(&'static str, &'static str)],
     #[case] expected: u16,
 ) {
     block_on(async {
         let world = World::start("keys").await;
-        put(&world, both(), false).await;
+        put_organisations(&world, two_organisations(), false).await;
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
         let answer = call(&router, "/read/1", headers).await;
@@ -89,12 +91,13 @@
     });
 }
 
-/// Guards against a caller who names an organisation where nobody checks.
+/// Guards against a caller's claim of an organisation that reaches the server on a public route, where no key is
+/// checked.
 #[test]
-fn a_public_route_needs_no_key_and_names_nobody() {
+fn a_public_route_needs_no_key_and_forwards_no_organisation() {
     block_on(async {
         let world = World::start("public").await;
-        put(&world, both(), true).await;
+        put_organisations(&world, two_organisations(), true).await;
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
         let claim = [("Chicoryrail-Tenant", "shop"), ("Chicoryrail-Key", "other")];
@@ -105,7 +108,7 @@
     });
 }
 
-/// Guards against headers of organisations that reach servers where none are configured.
+/// Guards against organisation and key headers that reach servers although no organisations are configured.
 #[test]
 fn without_organisations_their_headers_reach_no_server() {
     block_on(async {
@@ -120,17 +123,18 @@
     });
 }
 
+/// Guards against a revoked key that is still accepted, and against a revocation that affects other keys.
 #[test]
-fn a_key_that_was_taken_away_opens_nothing_and_the_others_still_do() {
+fn a_revoked_key_is_rejected_and_the_others_are_accepted() {
     block_on(async {
         let world = World::start("revoked").await;
-        put(&world, both(), false).await;
+        put_organisations(&world, two_organisations(), false).await;
         world.server("i-1", "desk").await;
         let router = world.router("a").await;
         assert_eq!(status(&router, "/read/1", SHOP_KEY).await, 200);
         let without = json!([{"name": "school", "api_keys": [SCHOOL_KEY]}, {"name": "shop"}]);
-        put(&world, without, false).await;
-        wait_until("the key opens nothing", async || {
+        put_organisations(&world, without, false).await;
+        wait_until("the revoked key is rejected", async || {
             status(&router, "/read/1", SHOP_KEY).await == 401
         })
         .await;
@@ -138,17 +142,17 @@
     });
 }
 
-/// Guards against a key that was taken away while this host was cut off from the store.
+/// Guards against a key that was revoked while this host was isolated from the store and is still accepted.
 #[test]
-fn a_host_out_of_touch_serves_no_keys_beyond_the_bound() {
+fn a_host_isolated_from_the_store_accepts_no_keys_after_the_bound() {
     block_on(async {
         let world = World::start("stale").await;
-        put(&world, both(), true).await;
+        put_organisations(&world, two_organisations(), true).await;
         world.server("i-1", "desk").await;
         let router = world.router("a").await;
         assert_eq!(status(&router, "/order/1", SHOP_KEY).await, 200);
         world.fault(&StoreFault::Silent { for_ms: 6_000 }).await;
-        monoio::time::sleep(REVOKE.duration()).await;
+        monoio::time::sleep(REVOCATION_TIME.duration()).await;
         for path in ["/order/1", "/manual/1"] {
             let answer = call(&router, path, &[("Chicoryrail-Key", SHOP_KEY)]).await;
             assert_eq!(answer.status(), 503);
@@ -157,66 +161,72 @@
         assert_eq!(
             status(&router, "/order/1", "other").await,
             503,
-            "it can't know"
+            "the host can't tell whether the key is valid"
         );
         assert_eq!(
             status(&router, "/read/1", "").await,
             200,
-            "a public route goes on"
+            "a public route is still served"
         );
-        wait_until("it serves again", async || {
+        wait_until("keys are accepted again", async || {
             status(&router, "/order/1", SHOP_KEY).await == 200
         })
         .await;
     });
 }
 
-/// Guards against a host that turns callers away for the age of keys that nobody has.
+/// Guards against a host that refuses requests because its keys are outdated, although there are no organisations.
 #[test]
-fn without_organisations_a_lone_host_out_of_touch_stays_ready() {
+fn without_organisations_a_host_isolated_from_the_store_stays_ready() {
     block_on(async {
         let world = World::start("lone").await;
         world.configure().await;
         world.server("i-1", "desk").await;
         let router = world.router("a").await;
         world.fault(&StoreFault::Silent { for_ms: 6_000 }).await;
-        monoio::time::sleep((REVOKE + Millis(700)).duration()).await;
+        monoio::time::sleep((REVOCATION_TIME + Millis(700)).duration()).await;
         assert!(router.is_ready().await);
         assert_eq!(status(&router, "/read/1", "").await, 200);
     });
 }
 
-/// Guards against a store that forgets its history: its watches hear nothing while a key is taken away.
+/// Guards against a revoked key that is still accepted because the store, about to drop its history, reports no changes
+/// to its watches.
 #[test]
-fn a_key_taken_away_while_watches_hear_nothing_opens_nothing_in_time() {
+fn a_key_revoked_while_watches_report_nothing_is_rejected_in_time() {
     block_on(async {
         let world = World::start("deaf").await;
-        put(&world, both(), false).await;
+        put_organisations(&world, two_organisations(), false).await;
         world.server("i-1", "desk").await;
         let router = world.router("a").await;
         world.deafen(Millis(10_000)).await;
-        put(
+        put_organisations(
             &world,
             json!([{"name": "school", "api_keys": [SCHOOL_KEY]}]),
             false,
         )
         .await;
-        monoio::time::sleep(REVOKE.duration()).await;
+        monoio::time::sleep(REVOCATION_TIME.duration()).await;
         assert_ne!(status(&router, "/read/1", SHOP_KEY).await, 200);
     });
 }
 
+/// Guards against an organisation whose requests run beyond its rate limit, or are refused without a retry time, and
+/// against refusals of another organisation's requests.
 #[test]
-fn an_organisation_beyond_its_limit_is_told_when_to_return() {
+fn an_organisation_over_its_limit_is_refused_with_a_retry_time() {
     block_on(async {
         let world = World::start("quota").await;
         let limited = json!([
             {"name": "school", "api_keys": [SCHOOL_KEY], "rate_per_s": 10, "burst": 10},
             {"name": "shop", "api_keys": [SHOP_KEY]}]);
-        put(&world, limited, false).await;
+        put_organisations(&world, limited, false).await;
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        wait_until("it leads", async || router.log().contains("leader_won")).await;
+        wait_until("the router leads", async || {
+            router.log().contains("leader_won")
+        })
+        .await;
         monoio::time::sleep(Millis(1_500).duration()).await;
         let mut refused = 0;
         for _ in 0..150 {
@@ -226,15 +236,15 @@
                 refused += 1;
             }
         }
-        // Two seconds of the rate, the burst, and a tenth and 20 beyond, in less time than that.
-        assert!(server.runs() <= 66, "{} ran", server.runs());
-        assert!(refused >= 84, "{refused} were refused");
+        // The rate for two seconds, the burst, and the allowance of a tenth and 20 requests; the loop takes less time.
+        assert!(server.runs() <= 66, "{} requests ran", server.runs());
+        assert!(refused >= 84, "{refused} requests were refused");
         assert_eq!(
             status(&router, "/read/1", SHOP_KEY).await,
             200,
-            "others are served"
+            "the other organisation is served"
         );
-        wait_until("it is logged", async || {
+        wait_until("the refusal is logged", async || {
             router.log().contains("log=quota_refused")
         })
         .await;
