--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// Returns the configuration's age now, and for how long the request was held.
+/// Returns the configuration's age now, and how long the request has waited here.
 fn config_age(router: &Router, now: Millis, received: Millis) -> Option<ConfigAge> {
     let age = router.organisations.freshness().age(now)?;
     Some(ConfigAge {
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -1,4 +1,4 @@
-//! Leader election: one host at a time holds the leader's key in the store under a lease.
+//! Leader election: one host at a time owns the leader's key in the store, under a store lease.
 
 use std::rc::Rc;
 
--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -143,7 +143,7 @@
             let outage = self.router.all_lost_store(self.router.now());
             self.leases.borrow_mut().store_away(outage);
             self.update_servers();
-            self.check_reach();
+            self.check_reachability();
             self.plan();
             // Checked right before the calls are sent: a process that was suspended must not act on outdated state.
             if self.leadership.may_act(&self.router) {
@@ -205,7 +205,7 @@
 
     /// Steps down if another host reaches servers that this one does not. During a store outage the leader stays,
     /// since no other host could take over.
-    fn check_reach(&self) {
+    fn check_reachability(&self) {
         if !self.router.store_up.get() {
             return;
         }
--- a/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
@@ -49,7 +49,7 @@
     scheduler: &mut Scheduler,
     now: Millis,
 ) {
-    let cold_bound = router.cold_bound(&service.name);
+    let warmup_bound = router.cold_bound(&service.name);
     let targets = service.targets.borrow();
     let any_ready = targets.values().any(|t| t.is_ready());
     let mut count = 0;
@@ -63,7 +63,7 @@
                 target.may_get(now)
             },
             cold_until: target.cold_until.get(),
-            cold_bound,
+            cold_bound: warmup_bound,
             limit: target.limit.get().rate(now),
             near: router.schedulers.dc_number(&target.dc),
             ours: target.ours.get().unwrap_or(false),
