--- a/crates/chicoryrail-core/src/lib.rs
+++ b/crates/chicoryrail-core/src/lib.rs
@@ -1,7 +1,8 @@
-//! Values that every chicoryrail package shares.
+//! Types shared by all chicoryrail crates: time, names, percent-encoding, servers, and the configuration with its
+//! file format and validation.
 //!
-//! The crate holds no input or output: a time value, names, and the model of a configuration with its
-//! validation. The decisions built on them live in `chicoryrail-policy` and `chicoryrail-ownership`.
+//! The crate does no input or output. The decisions based on these types are made in `chicoryrail-policy` and
+//! `chicoryrail-ownership`.
 //!
 //! # Example
 //!
@@ -26,7 +27,7 @@
 //! assert_eq!(site.route("shop.example", "/kits/7").unwrap().name, "lookup");
 //! ```
 //!
-//! Go on with [`Site`] for a configuration, [`Member`] and [`Life`] for servers, and [`Millis`] for time.
+//! The main types are [`Site`], a whole configuration, [`Member`] and [`Life`] for servers, and [`Millis`] for time.
 
 mod millis;
 mod names;
--- a/crates/chicoryrail-core/src/millis.rs
+++ b/crates/chicoryrail-core/src/millis.rs
@@ -1,4 +1,4 @@
-//! The project's one time value.
+//! Time in milliseconds.
 
 use std::fmt;
 use std::ops::Add;
@@ -10,10 +10,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A point in time or a length of time, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 ///
-/// As a point it counts from the start of one process's monotonic clock, so points of two
-/// processes are never compared; only lengths travel between processes.
+/// A point in time counts from the start of one process's monotonic clock. Points of different processes must not be
+/// compared, so only durations are sent between processes.
 #[derive(
     Clone,
     Copy,
@@ -33,24 +33,24 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The start of the clock, or a length of nothing.
+    /// The start of the clock, or an empty duration.
     pub const ZERO: Self = Self(0);
-    /// The latest point; a deadline that never comes.
+    /// The latest point in time; as a deadline, it never passes.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// Returns the value as a standard duration.
+    /// Converts the value to a standard duration.
     #[must_use]
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 
-    /// Returns `self - other`, or zero where `other` is later.
+    /// Returns `self - other`, or zero if `other` is later.
     #[must_use]
     pub const fn since(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// Returns the value times `n`, held at [`Millis::MAX`].
+    /// Returns the value multiplied by `n`, saturating at [`Millis::MAX`].
     #[must_use]
     pub const fn times(self, n: u64) -> Self {
         Self(self.0.saturating_mul(n))
--- a/crates/chicoryrail-core/src/names.rs
+++ b/crates/chicoryrail-core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of the things that a configuration describes.
+//! Names of hosts, data centres, organisations, servers and services.
 
 use std::fmt;
 use std::sync::Arc;
@@ -18,23 +18,24 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps `text`; cloning the name later copies a pointer, not the text.
+            /// Creates a name from `text`. Clones are cheap: they share the text.
             #[must_use]
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
 
-            /// Returns the text of the name.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
             }
 
-            /// Tells whether the text is 1 to 64 characters of `a-z 0-9 - _ .`.
+            /// Returns whether the name has 1 to 64 characters, all of `a-z 0-9 - _ .`.
             #[must_use]
             pub fn is_valid(&self) -> bool {
-                let ok = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
-                (1..=64).contains(&self.0.len()) && self.0.bytes().all(ok)
+                let is_allowed =
+                    |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
+                (1..=64).contains(&self.0.len()) && self.0.bytes().all(is_allowed)
             }
         }
 
@@ -67,22 +68,22 @@
 }
 
 name!(
-    /// Names a data centre.
+    /// Name of a data centre.
     DcName
 );
 name!(
-    /// Names one of the system's own entry hosts.
+    /// Name of an entry host, on which a router runs.
     HostName
 );
 name!(
-    /// Names an organisation that API keys belong to.
+    /// Name of an organisation, which owns API keys.
     OrganisationName
 );
 name!(
-    /// Names a server (target) within the whole platform.
+    /// Name of a server (target), unique within the platform.
     ServerName
 );
 name!(
-    /// Names a service.
+    /// Name of a service.
     ServiceName
 );
--- a/crates/chicoryrail-core/src/percent.rs
+++ b/crates/chicoryrail-core/src/percent.rs
@@ -2,9 +2,10 @@
 
 use std::fmt::Write as _;
 
-/// Decodes `%XX`; `None` for a `%` without two hexadecimal digits.
+/// Decodes the `%XX` sequences in `text`; returns `None` if a `%` is not followed by two hexadecimal
+/// digits.
 ///
-/// A plus sign stands for itself, as in paths. The bytes need not be UTF-8.
+/// A plus sign is not decoded to a space, as in paths. The decoded bytes may be invalid UTF-8.
 #[must_use]
 pub fn percent_decode(text: &str) -> Option<Vec<u8>> {
     let mut bytes = Vec::with_capacity(text.len());
@@ -16,13 +17,13 @@
             continue;
         }
         let (hex, tail) = tail.split_at_checked(2)?;
-        bytes.push(digit(hex[0])? << 4 | digit(hex[1])?);
+        bytes.push(hex_value(hex[0])? << 4 | hex_value(hex[1])?);
         rest = tail;
     }
     Some(bytes)
 }
 
-/// Encodes everything but `A-Z a-z 0-9 - _ . ~`.
+/// Encodes each byte other than `A-Z a-z 0-9 - _ . ~` as `%XX`.
 #[must_use]
 pub fn percent_encode(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
@@ -36,7 +37,7 @@
     out
 }
 
-fn digit(b: u8) -> Option<u8> {
-    let digit = char::from(b).to_digit(16)?;
-    u8::try_from(digit).ok()
+fn hex_value(digit: u8) -> Option<u8> {
+    let value = char::from(digit).to_digit(16)?;
+    u8::try_from(value).ok()
 }
--- a/crates/chicoryrail-core/src/site/api_key.rs
+++ b/crates/chicoryrail-core/src/site/api_key.rs
@@ -1,4 +1,4 @@
-//! The secret by which a request names its organisation.
+//! API keys, the secrets that identify the organisation of a request.
 
 use secrecy::ExposeSecret;
 use secrecy::SecretString;
@@ -7,32 +7,34 @@
 use serde::Serializer;
 use subtle::ConstantTimeEq;
 
-/// Longest key, in bytes.
-const KEY_LEN_MAX: usize = 128;
+/// Maximum length of a key in bytes.
+const KEY_BYTES_MAX: usize = 128;
 
-/// An API key. Its `Debug` hides it, and its memory is cleared when it is dropped.
+/// A secret key that identifies the organisation of a request.
+///
+/// `Debug` doesn't print the key, comparison takes constant time, and the memory is cleared on drop.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(transparent)]
 pub struct ApiKey(SecretString);
 
 impl ApiKey {
-    /// Wraps the text of a key.
+    /// Creates a key from its text.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(SecretString::from(text))
     }
 
-    /// Returns the bytes of the key, to be hashed or written to the store; they belong in no log or error.
+    /// Returns the bytes of the key, for hashing or for the store. They must not appear in logs or errors.
     #[must_use]
     pub fn expose(&self) -> &[u8] {
         self.0.expose_secret().as_bytes()
     }
 
-    /// Tells whether the key is 1 to 128 visible ASCII characters, as a header can carry it.
+    /// Returns whether the key has 1 to 128 characters, all of visible ASCII, so that it fits into a header.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         let bytes = self.expose();
-        (1..=KEY_LEN_MAX).contains(&bytes.len()) && bytes.iter().all(u8::is_ascii_graphic)
+        (1..=KEY_BYTES_MAX).contains(&bytes.len()) && bytes.iter().all(u8::is_ascii_graphic)
     }
 }
 
@@ -45,7 +47,7 @@
 impl Eq for ApiKey {}
 
 impl Serialize for ApiKey {
-    /// Writes the key itself: only the operator's own file and the store hold serialized keys.
+    /// Writes the key in plain text: only the operator's file and the store contain serialized keys.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(self.0.expose_secret())
     }
--- a/crates/chicoryrail-core/src/site/caller_limits.rs
+++ b/crates/chicoryrail-core/src/site/caller_limits.rs
@@ -1,23 +1,25 @@
-//! What a caller may send.
+//! Limits on callers' connections and requests.
 
 use crate::Millis;
 
-/// Bounds on callers' connections and requests.
+/// Limits on callers' connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request head in bytes.
     pub head: usize,
-    /// Largest body of a request in bytes.
+    /// Maximum size of a request body in bytes.
     pub body: u64,
-    /// Time in which a head must arrive.
+    /// Maximum time for a request head to arrive.
     pub head_time: Millis,
-    /// Time after which an unused connection may be closed.
+    /// Time after which an idle connection may be closed.
     pub idle: Millis,
 }
 
 impl Default for CallerLimits {
-    /// The limits in force until the first configuration: as large as the usual ones, so that no
-    /// caller that keeps to its configuration is turned away by a host that does not know it yet.
+    /// Returns the limits of a configuration file that sets none.
+    ///
+    /// They are as large as usual limits. A host without a configuration uses the same head size and times and has no
+    /// limit on bodies, so it refuses no caller that stays within the configuration it doesn't know yet.
     fn default() -> Self {
         Self {
             head: 16 << 10,
--- a/crates/chicoryrail-core/src/site/file.rs
+++ b/crates/chicoryrail-core/src/site/file.rs
@@ -1,4 +1,4 @@
-//! A configuration as operators write it.
+//! The configuration file that operators write.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,32 +14,32 @@
 use crate::ServiceSpec;
 use crate::Site;
 
-/// What is wrong with a configuration file.
+/// An invalid value in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{field} = {value}: {reason}"))]
 pub struct SiteError {
-    /// The field, as `route.NAME.prefix`.
+    /// Path of the field, such as `route.NAME.prefix`.
     pub field: String,
-    /// Value found.
+    /// Value in the file; a placeholder for API keys.
     pub value: String,
-    /// What is wrong with it.
+    /// Rule that the value breaks.
     pub reason: &'static str,
 }
 
-/// A configuration file; lengths of time are milliseconds, sizes are bytes.
+/// A configuration file in TOML. Times are in milliseconds, sizes in bytes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteFile {
-    /// Bounds on callers.
+    /// Limits on callers' connections and requests.
     #[serde(default)]
     pub limits: LimitsPart,
-    /// Services.
+    /// Services that routes refer to by name.
     #[serde(rename = "service")]
     pub services: Vec<ServicePart>,
-    /// Routes; the one with the longest prefix of a path is taken.
+    /// Routes. A request uses the one of its host with the longest prefix of its path.
     #[serde(rename = "route")]
     pub routes: Vec<RoutePart>,
-    /// Organisations; where the file names any, each request needs a key of one, but on public routes.
+    /// Organisations. If the list is present, each request needs an API key of one of them, except on public routes.
     #[serde(
         rename = "organisation",
         default,
@@ -48,71 +48,71 @@
     pub organisations: Option<Vec<OrganisationPart>>,
 }
 
-/// Bounds on callers' connections and requests.
+/// Section with limits on callers' connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsPart {
-    /// Largest head of a request.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// Time in which a head must arrive.
+    /// Maximum time for a request head to arrive.
     pub head_ms: Millis,
-    /// Time after which an unused connection may be closed.
+    /// Time after which an idle connection may be closed.
     pub idle_ms: Millis,
 }
 
-/// A service.
+/// Section that describes a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServicePart {
-    /// Name.
+    /// Name, unique within the file.
     pub name: ServiceName,
-    /// Whether each key is served by the one server that holds it.
+    /// Whether each key has one server as its owner, which receives all requests for the key.
     #[serde(default)]
     pub keyed: bool,
-    /// Path of the status check.
+    /// Path of the servers' health check; starts with a slash.
     pub health: String,
-    /// Connections that one server accepts from all hosts together.
+    /// Maximum number of connections to one server, from all hosts together; above 0.
     pub connections: u32,
-    /// How long a server stays cold after its start.
+    /// Length of a server's warm-up after its start.
     #[serde(default)]
     pub cold_ms: Millis,
-    /// Requests a second that a cold server bears from all hosts together.
+    /// Maximum rate of requests to a server that warms up, in requests per second from all hosts together.
     #[serde(default)]
     pub cold_rate: f64,
 }
 
-/// A route.
+/// Section that describes a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutePart {
     /// Name, for logs and metrics.
     pub name: String,
-    /// Host that callers name.
+    /// Host in callers' requests; upper and lower case are the same.
     pub host: String,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; starts and ends with a slash.
     pub prefix: String,
-    /// Whether requests may run at most once; else they may be repeated.
+    /// Whether requests may run at most once; otherwise they may be retried.
     #[serde(default)]
     pub once: bool,
-    /// Whether answers are large; not together with `once`.
+    /// Whether responses are large; not together with `once`.
     #[serde(default)]
     pub download: bool,
-    /// Longest time for which a request is kept waiting.
+    /// Maximum time for a request, including its wait for a server and all retries.
     pub timeout_ms: Millis,
-    /// Latency within which an answer is worth most.
+    /// Latency target: a response within this time has the most value for the caller. At most `timeout_ms`.
     pub aim_ms: Millis,
-    /// Rank when there is not room for all; 0 goes first.
+    /// Priority if the servers lack capacity for all requests; 0 is served first.
     #[serde(default)]
     pub rank: u8,
-    /// Most servers that one request may be sent to.
+    /// Maximum number of sends that may run one request, the first included; see [`Route::attempts`].
     #[serde(default = "one")]
     pub attempts: u32,
-    /// Whether its requests need no API key.
+    /// Whether requests need no API key.
     #[serde(default)]
     pub public: bool,
-    /// Services that take the requests.
+    /// Services that receive the requests; at least one weight is above 0.
     pub services: Vec<WeightPart>,
 }
 
@@ -120,9 +120,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightPart {
-    /// Service.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Share, relative to the others'.
+    /// Share, relative to the weights of the route's other services.
     #[serde(default = "one")]
     pub weight: u32,
 }
@@ -133,12 +133,12 @@
 
 impl Default for LimitsPart {
     fn default() -> Self {
-        Self::of(&CallerLimits::default())
+        Self::from_limits(&CallerLimits::default())
     }
 }
 
 impl LimitsPart {
-    const fn of(limits: &CallerLimits) -> Self {
+    const fn from_limits(limits: &CallerLimits) -> Self {
         Self {
             head_bytes: limits.head,
             body_bytes: limits.body,
@@ -149,7 +149,7 @@
 }
 
 impl SiteFile {
-    /// Returns the file of a configuration.
+    /// Returns the file that describes a configuration; the version is not part of it.
     #[must_use]
     pub fn of(site: &Site) -> Self {
         let service = |s: &ServiceSpec| ServicePart {
@@ -161,36 +161,42 @@
             cold_rate: s.cold_rate,
         };
         Self {
-            limits: LimitsPart::of(&site.limits),
+            limits: LimitsPart::from_limits(&site.limits),
             services: site.services.iter().map(service).collect(),
-            routes: site.routes().iter().map(|r| RoutePart::of(r)).collect(),
-            organisations: site
-                .organisations()
-                .map(|all| all.iter().map(|o| OrganisationPart::of(o)).collect()),
+            routes: site
+                .routes()
+                .iter()
+                .map(|r| RoutePart::from_route(r))
+                .collect(),
+            organisations: site.organisations().map(|all| {
+                all.iter()
+                    .map(|o| OrganisationPart::from_organisation(o))
+                    .collect()
+            }),
         }
     }
 
-    /// Builds version `version` of the configuration.
+    /// Checks the file and builds the configuration with this version.
     ///
     /// # Errors
     ///
-    /// Names the first field that holds an unusable value.
+    /// Returns the first field with an invalid value.
     pub fn build(&self, version: u64) -> Result<Site, SiteError> {
         for (i, service) in self.services.iter().enumerate() {
             service.check()?;
-            let mut before = self.services[..i].iter();
-            if before.any(|s| s.name == service.name) {
+            let mut earlier = self.services[..i].iter();
+            if earlier.any(|s| s.name == service.name) {
                 let field = format!("service.{}.name", service.name);
-                return Err(wrong(field, &service.name, "is there twice"));
+                return Err(invalid(field, &service.name, "is used twice"));
             }
         }
         for (i, route) in self.routes.iter().enumerate() {
             route.check(&self.services)?;
-            let same = |r: &&RoutePart| r.host == route.host && r.prefix == route.prefix;
-            if let Some(other) = self.routes[..i].iter().find(same) {
+            let is_duplicate = |r: &&RoutePart| r.host == route.host && r.prefix == route.prefix;
+            if let Some(other) = self.routes[..i].iter().find(is_duplicate) {
                 let field = format!("route.{}.prefix", route.name);
                 let value = format!("{} of route {}", route.prefix, other.name);
-                return Err(wrong(field, &value, "is there twice for its host"));
+                return Err(invalid(field, &value, "is used twice for the same host"));
             }
         }
         let organisations = self.organisations.as_deref();
@@ -217,28 +223,28 @@
         let field = |name: &str| format!("service.{}.{name}", self.name);
         if !self.name.is_valid() {
             let reason = "must be 1 to 64 characters of a-z 0-9 - _ .";
-            return Err(wrong(field("name"), &self.name, reason));
+            return Err(invalid(field("name"), &self.name, reason));
         }
         if !self.health.starts_with('/') {
-            return Err(wrong(
+            return Err(invalid(
                 field("health"),
                 &self.health,
-                "must begin with a slash",
+                "must start with a slash",
             ));
         }
         if self.connections == 0 {
-            return Err(wrong(field("connections"), &0, "must be above 0"));
+            return Err(invalid(field("connections"), &0, "must be above 0"));
         }
         if !(self.cold_rate.is_finite() && self.cold_rate >= 0.0) {
-            return Err(wrong(
+            return Err(invalid(
                 field("cold_rate"),
                 &self.cold_rate,
                 "must be 0 or more",
             ));
         }
         if self.cold_ms > Millis::ZERO && self.cold_rate == 0.0 {
-            let reason = "must be above 0 where servers start cold";
-            return Err(wrong(field("cold_rate"), &self.cold_rate, reason));
+            let reason = "must be above 0 if cold_ms is above 0";
+            return Err(invalid(field("cold_rate"), &self.cold_rate, reason));
         }
         Ok(())
     }
@@ -256,7 +262,7 @@
 }
 
 impl RoutePart {
-    fn of(route: &Route) -> Self {
+    fn from_route(route: &Route) -> Self {
         let weight = |p: &Part| WeightPart {
             name: p.service.clone(),
             weight: p.weight,
@@ -279,36 +285,40 @@
     fn check(&self, services: &[ServicePart]) -> Result<(), SiteError> {
         let field = |name: &str| format!("route.{}.{name}", self.name);
         if self.host.is_empty() {
-            return Err(wrong(field("host"), &"", "must not be empty"));
+            return Err(invalid(field("host"), &"", "must not be empty"));
         }
         if !(self.prefix.starts_with('/') && self.prefix.ends_with('/')) {
-            let reason = "must begin and end with a slash";
-            return Err(wrong(field("prefix"), &self.prefix, reason));
+            let reason = "must start and end with a slash";
+            return Err(invalid(field("prefix"), &self.prefix, reason));
         }
         if self.timeout_ms == Millis::ZERO {
-            return Err(wrong(field("timeout_ms"), &0, "must be above 0"));
+            return Err(invalid(field("timeout_ms"), &0, "must be above 0"));
         }
         if self.aim_ms > self.timeout_ms {
             let reason = "must not be above timeout_ms";
-            return Err(wrong(field("aim_ms"), &self.aim_ms.0, reason));
+            return Err(invalid(field("aim_ms"), &self.aim_ms.0, reason));
         }
         if self.once && self.download {
-            let reason = "must not be true where once is";
-            return Err(wrong(field("download"), &true, reason));
+            let reason = "must not be true together with once";
+            return Err(invalid(field("download"), &true, reason));
         }
         if self.attempts == 0 {
-            return Err(wrong(field("attempts"), &0, "must be above 0"));
+            return Err(invalid(field("attempts"), &0, "must be above 0"));
         }
-        let known = |p: &&WeightPart| !services.iter().any(|s| s.name == p.name);
-        if let Some(unknown) = self.services.iter().find(known) {
-            return Err(wrong(
+        let is_unknown = |p: &&WeightPart| !services.iter().any(|s| s.name == p.name);
+        if let Some(unknown) = self.services.iter().find(is_unknown) {
+            return Err(invalid(
                 field("services"),
                 &unknown.name,
-                "is no service of the file",
+                "is not a service of this file",
             ));
         }
         if self.services.iter().all(|p| p.weight == 0) {
-            return Err(wrong(field("services"), &"", "must hold a weight above 0"));
+            return Err(invalid(
+                field("services"),
+                &"",
+                "must include a weight above 0",
+            ));
         }
         Ok(())
     }
@@ -341,7 +351,7 @@
     }
 }
 
-pub(super) fn wrong(
+pub(super) fn invalid(
     field: String,
     value: &dyn std::fmt::Display,
     reason: &'static str,
--- a/crates/chicoryrail-core/src/site/file_organisation.rs
+++ b/crates/chicoryrail-core/src/site/file_organisation.rs
@@ -1,4 +1,4 @@
-//! An organisation as operators write it.
+//! Organisations in a configuration file.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,35 +8,35 @@
 use crate::OrganisationName;
 use crate::QuotaLimit;
 use crate::SiteError;
-use crate::site::file::wrong;
+use crate::site::file::invalid;
 
-/// Shown in errors in place of a key.
-const HIDDEN: &str = "(hidden)";
+/// Text that errors show in place of an API key.
+const REDACTED: &str = "(hidden)";
 
-/// An organisation.
+/// Section of a configuration file that describes an organisation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationPart {
-    /// Name, which servers are told.
+    /// Name, sent to servers in a request header.
     pub name: OrganisationName,
-    /// Keys that name it.
+    /// API keys that identify it.
     #[serde(default)]
     pub api_keys: Vec<ApiKey>,
-    /// Requests a second over all hosts; 0 for no limit.
+    /// Requests per second, over all hosts together; 0 for no limit.
     #[serde(default)]
     pub rate: f64,
-    /// Requests that may come at once beside the rate.
+    /// Requests that may arrive at once in addition to the rate.
     #[serde(default)]
     pub burst: f64,
-    /// Rank of its requests, in place of the route's.
+    /// Priority of its requests in place of the route's, 0 first.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rank: Option<u8>,
 }
 
 impl OrganisationPart {
-    /// Returns the part of a file that describes an organisation.
+    /// Returns the section that describes `organisation`.
     #[must_use]
-    pub fn of(organisation: &Organisation) -> Self {
+    pub fn from_organisation(organisation: &Organisation) -> Self {
         let limit = organisation.limit;
         Self {
             name: organisation.name.clone(),
@@ -47,36 +47,40 @@
         }
     }
 
-    /// Checks it beside those before it in the file.
-    pub(crate) fn check(&self, before: &[Self]) -> Result<(), SiteError> {
+    /// Checks the section. Its name and keys must differ from those of the `earlier` organisations in the file.
+    pub(crate) fn check(&self, earlier: &[Self]) -> Result<(), SiteError> {
         let field = |name: &str| format!("organisation.{}.{name}", self.name);
         if !self.name.is_valid() {
             let reason = "must be 1 to 64 characters of a-z 0-9 - _ .";
-            return Err(wrong(field("name"), &self.name, reason));
+            return Err(invalid(field("name"), &self.name, reason));
         }
-        if before.iter().any(|o| o.name == self.name) {
-            return Err(wrong(field("name"), &self.name, "is there twice"));
+        if earlier.iter().any(|o| o.name == self.name) {
+            return Err(invalid(field("name"), &self.name, "is used twice"));
         }
         for (name, value) in [("rate", self.rate), ("burst", self.burst)] {
             if !(value.is_finite() && value >= 0.0) {
-                return Err(wrong(field(name), &value, "must be 0 or more"));
+                return Err(invalid(field(name), &value, "must be 0 or more"));
             }
         }
-        self.check_keys(before)
+        self.check_keys(earlier)
     }
 
-    fn check_keys(&self, before: &[Self]) -> Result<(), SiteError> {
+    fn check_keys(&self, earlier: &[Self]) -> Result<(), SiteError> {
         for (i, key) in self.api_keys.iter().enumerate() {
             let field = format!("organisation.{}.api_keys.{i}", self.name);
             if !key.is_valid() {
                 let reason = "must be 1 to 128 visible ASCII characters";
-                return Err(wrong(field, &HIDDEN, reason));
+                return Err(invalid(field, &REDACTED, reason));
             }
             if self.api_keys[..i].contains(key) {
-                return Err(wrong(field, &HIDDEN, "is there twice"));
+                return Err(invalid(field, &REDACTED, "is used twice"));
             }
-            if before.iter().any(|o| o.api_keys.contains(key)) {
-                return Err(wrong(field, &HIDDEN, "is a key of another organisation"));
+            if earlier.iter().any(|o| o.api_keys.contains(key)) {
+                return Err(invalid(
+                    field,
+                    &REDACTED,
+                    "is an API key of another organisation",
+                ));
             }
         }
         Ok(())
--- a/crates/chicoryrail-core/src/site/life.rs
+++ b/crates/chicoryrail-core/src/site/life.rs
@@ -1,4 +1,4 @@
-//! One life of a server.
+//! One start of a server, its incarnation.
 
 use std::fmt;
 
@@ -9,28 +9,28 @@
 
 use crate::ServerName;
 
-/// One start of a server.
+/// One start of a server, its incarnation.
 ///
-/// A server may start again under its old name; it then holds nothing of before. Only name and time
-/// of birth together say which process is meant.
+/// A server may start again under the same name. It then has none of the keys and state of its previous start, so only
+/// the name and the start time together identify a process.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 pub struct Life {
     /// Name of the server.
     pub name: ServerName,
-    /// Start of the process in Unix milliseconds, by the server's own clock; 0 where it is not told.
+    /// Start time of the process in Unix milliseconds, by the server's own clock; 0 if the server doesn't report it.
     pub born: u64,
 }
 
 impl Life {
-    /// Builds a life from the server's name and its time of birth.
+    /// Creates an incarnation from the server's name and start time.
     #[must_use]
     pub const fn new(name: ServerName, born: u64) -> Self {
         Self { name, born }
     }
 
-    /// Tells whether this is a later life of the same server, so that `other` has ended.
+    /// Returns whether this is a later start of the same server, which means that `other` has ended.
     #[must_use]
     pub fn succeeds(&self, other: &Self) -> bool {
         self.name == other.name && self.born > other.born
--- a/crates/chicoryrail-core/src/site/member.rs
+++ b/crates/chicoryrail-core/src/site/member.rs
@@ -1,4 +1,4 @@
-//! A server as it registers itself.
+//! Servers as they register themselves in the store.
 
 use std::net::SocketAddr;
 
@@ -7,31 +7,30 @@
 use crate::Millis;
 use crate::ServiceName;
 
-/// What a server says of its willingness to work.
+/// State that a server advertises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes its requests and leaves; nothing new may be sent after a bounded time.
+    /// Completes its requests and then stops; after a bounded time it must receive no new ones.
     Draining,
 }
 
 /// A registered server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Which start of which server.
+    /// Name and start time of the server.
     pub life: Life,
-    /// Service that it belongs to.
+    /// Service that the server belongs to.
     pub service: ServiceName,
-    /// Address for requests and for control.
+    /// Address for requests and for the calls that grant and release keys.
     pub addr: SocketAddr,
-    /// Data centre that it stands in.
+    /// Data centre of the server.
     pub dc: DcName,
-    /// Requests that it works on at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the server accepts new requests.
     pub state: MemberState,
-    /// How much longer it stays cold, counted from the entry's arrival in the store; zero for a warm
-    /// one.
+    /// Remaining time of the server's warm-up, counted from the entry's arrival in the store; zero if it is warm.
     pub cold: Millis,
 }
--- a/crates/chicoryrail-core/src/site/mod.rs
+++ b/crates/chicoryrail-core/src/site/mod.rs
@@ -1,7 +1,7 @@
-//! What an operator has configured, and which servers there are.
+//! The operator's configuration and the registered servers.
 //!
-//! These are the values that the rest of the product reasons about. Whatever the platform calls them
-//! is decoded into them once, in the platform adapter.
+//! The other crates use these types for decisions. The platform adapter alone decodes the platform's formats, with
+//! their own names, into them.
 
 mod api_key;
 mod caller_limits;
--- a/crates/chicoryrail-core/src/site/organisation.rs
+++ b/crates/chicoryrail-core/src/site/organisation.rs
@@ -1,26 +1,26 @@
-//! An organisation whose requests carry API keys.
+//! Organisations, the customers whose requests carry API keys.
 
 use crate::ApiKey;
 use crate::OrganisationName;
 
-/// How many requests of an organisation may run, summed over all hosts.
+/// Rate limit on an organisation's requests, over all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests that may come at once beside the rate.
+    /// Requests that may arrive at once in addition to the rate.
     pub burst: f64,
 }
 
-/// An organisation.
+/// A customer that is identified by API keys and may have a rate limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Name, which servers are told.
+    /// Name, sent to servers in a request header.
     pub name: OrganisationName,
-    /// Keys that name it; none where all were taken away.
+    /// API keys that identify it; empty if all were removed.
     pub keys: Vec<ApiKey>,
-    /// Limit on its requests; `None` for no limit.
+    /// Rate limit on its requests; `None` if they are not limited.
     pub limit: Option<QuotaLimit>,
-    /// Rank of its requests, which goes before the route's; 0 goes first.
+    /// Priority of its requests in place of the route's, 0 first; `None` for the route's.
     pub rank: Option<u8>,
 }
--- a/crates/chicoryrail-core/src/site/route.rs
+++ b/crates/chicoryrail-core/src/site/route.rs
@@ -1,4 +1,4 @@
-//! One route of a configuration.
+//! Routes of a configuration.
 
 use crate::Millis;
 use crate::ServiceName;
@@ -6,25 +6,25 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Repeat {
-    /// Idempotent: may be sent to another server after any failure.
+    /// Idempotent: may be retried at another server after any failure.
     Any,
-    /// At most once: may be sent again only where it certainly has not run.
+    /// At most once: may be sent again only if it certainly did not run.
     Once,
 }
 
-/// What the requests of a route are.
+/// Kind of a route: whether its requests may be retried and whether its responses are large.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// Idempotent, with short answers.
+    /// Idempotent, with short responses.
     Read,
-    /// Idempotent, with large answers: most of its cost is bytes on the way, not work at the server.
+    /// Idempotent, with large responses: most of the cost is transfer, not work at the server.
     Download,
-    /// May run once.
+    /// May run at most once.
     Order,
 }
 
 impl RouteKind {
-    /// Tells whether requests may run more than once.
+    /// Returns whether requests of this kind may run more than once.
     #[must_use]
     pub const fn repeat(self) -> Repeat {
         match self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns the name in files, logs and metrics.
+    /// Returns the name of the kind in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -44,36 +44,37 @@
     }
 }
 
-/// A service that takes a part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share, relative to the weights of the other parts.
+    /// Share, relative to the weights of the route's other services.
     pub weight: u32,
 }
 
-/// Where requests with one host and path prefix go.
+/// Services that receive the requests with one host and path prefix, and how these requests are treated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
-    /// Host that callers name, in lower case.
+    /// Host in callers' requests, in lower case.
     pub host: String,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; starts and ends with a slash.
     pub prefix: String,
-    /// What its requests are.
+    /// Kind of its requests.
     pub kind: RouteKind,
-    /// Longest time for which a request is kept waiting.
+    /// Maximum time for a request, including its wait for a server and all retries.
     pub timeout: Millis,
-    /// Latency within which an answer is worth most to the caller.
+    /// Latency target: a response within this time has the most value for the caller.
     pub aim: Millis,
-    /// Rank when there is not room for all; 0 goes first.
+    /// Priority if the servers lack capacity for all requests; 0 is served first.
     pub rank: u8,
-    /// Most servers that one request may be sent to, the first included.
+    /// Maximum number of sends that may run one request, the first included. Sends that certainly did not run it
+    /// don't count, but in all there are at most two sends more than this.
     pub attempts: u32,
-    /// Whether its requests need no API key where organisations are configured.
+    /// Whether requests need no API key even if organisations are configured.
     pub public: bool,
-    /// Services with their weights; at least one.
+    /// Services with their weights; at least one weight is above 0.
     pub parts: Vec<Part>,
 }
--- a/crates/chicoryrail-core/src/site/service.rs
+++ b/crates/chicoryrail-core/src/site/service.rs
@@ -1,21 +1,21 @@
-//! One service of a configuration.
+//! Services of a configuration.
 
 use crate::Millis;
 use crate::ServiceName;
 
-/// What a configuration says of a service's servers.
+/// Configuration of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Name.
+    /// Name by which routes refer to the service.
     pub name: ServiceName,
-    /// Path of the status check.
+    /// Path of the servers' health check.
     pub health: String,
-    /// Connections that one server accepts from all hosts together.
+    /// Maximum number of connections to one server, from all hosts together.
     pub connections: u32,
-    /// How long a server stays cold after its start.
+    /// Length of a server's warm-up after its start.
     pub cold: Millis,
-    /// Requests a second that a cold server bears from all hosts together.
+    /// Maximum rate of requests to a server that warms up, in requests per second from all hosts together.
     pub cold_rate: f64,
-    /// Whether each key is served by the one server that holds it.
+    /// Whether each key has one server as its owner, which receives all requests for the key.
     pub keyed: bool,
 }
--- a/crates/chicoryrail-core/src/site/site.rs
+++ b/crates/chicoryrail-core/src/site/site.rs
@@ -1,4 +1,4 @@
-//! One version of the operator's configuration.
+//! The operator's configuration as a whole.
 
 use std::sync::Arc;
 
@@ -9,21 +9,21 @@
 use crate::ServiceName;
 use crate::ServiceSpec;
 
-/// A whole configuration.
+/// One version of the operator's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// Version; a higher one replaces a lower one, never the other way round.
+    /// Version number. A configuration replaces only one with a lower version.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on callers' connections and requests.
     pub limits: CallerLimits,
-    /// Services.
+    /// Services that routes refer to by name.
     pub services: Vec<ServiceSpec>,
     routes: Vec<Arc<Route>>,
     organisations: Option<Vec<Arc<Organisation>>>,
 }
 
 impl Site {
-    /// Builds a configuration; the order of the routes does not matter.
+    /// Creates a configuration without organisations; the order of the routes does not matter.
     #[must_use]
     pub fn new(
         version: u64,
@@ -31,7 +31,7 @@
         services: Vec<ServiceSpec>,
         mut routes: Vec<Route>,
     ) -> Self {
-        // The longest prefix first within a host, so that the first match of a search is the right one.
+        // Within a host, longer prefixes come first, so the first route that matches has the longest prefix.
         routes.sort_by(|a, b| {
             let length = b.prefix.len().cmp(&a.prefix.len());
             a.host.cmp(&b.host).then(length)
@@ -45,20 +45,20 @@
         }
     }
 
-    /// Sets the organisations; `None` where requests need no API keys.
+    /// Sets the organisations; `None` if requests need no API keys.
     #[must_use]
     pub fn with_organisations(mut self, organisations: Option<Vec<Organisation>>) -> Self {
         self.organisations = organisations.map(|all| all.into_iter().map(Arc::new).collect());
         self
     }
 
-    /// Returns the organisations; `None` where requests need no API keys.
+    /// Returns the organisations; `None` if requests need no API keys.
     #[must_use]
     pub fn organisations(&self) -> Option<&[Arc<Organisation>]> {
         self.organisations.as_deref()
     }
 
-    /// Finds an organisation by its name.
+    /// Returns the organisation with this name.
     #[must_use]
     pub fn organisation(&self, name: &OrganisationName) -> Option<&Arc<Organisation>> {
         let mut all = self.organisations()?.iter();
@@ -71,7 +71,9 @@
         &self.routes
     }
 
-    /// Finds the route of a request: that of its host with the longest prefix of its path.
+    /// Returns the route of a request: among its host's routes, the one with the longest prefix of its path.
+    ///
+    /// `host` must be in lower case.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let first = self.routes.partition_point(|r| *r.host < *host);
@@ -81,7 +83,7 @@
             .find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// Finds a service by its name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSpec> {
         self.services.iter().find(|s| s.name == *name)
--- a/crates/chicoryrail-core/tests/organisations.rs
+++ b/crates/chicoryrail-core/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations in configuration files: what is taken, and how a bad value is told without its key.
+//! Tests of organisations in configuration files: accepted fields, and errors that don't contain API keys.
 
 use chicoryrail_core::ApiKey;
 use chicoryrail_core::SiteFile;
@@ -35,8 +35,9 @@
     toml::from_str(text).unwrap()
 }
 
+/// Guards against organisation fields that are lost or changed when a configuration is written to a file and read.
 #[test]
-fn a_file_names_organisations_and_is_written_back() {
+fn organisations_round_trip_through_file() {
     let site = file(TEXT).build(4).unwrap();
     let school = site.organisation(&"school".into()).unwrap();
     assert_eq!(school.keys.len(), 2);
@@ -48,8 +49,9 @@
     assert_eq!(file(&written).build(4).unwrap(), site);
 }
 
+/// Guards against an absent list that is read as an empty one, which makes each request need an API key.
 #[test]
-fn a_file_without_organisations_asks_for_no_keys() {
+fn file_without_organisations_needs_no_api_keys() {
     let (text, _) = TEXT.split_once("[[organisation]]").unwrap();
     assert_eq!(file(text).build(1).unwrap().organisations(), None);
 }
@@ -78,7 +80,7 @@
 )]
 #[case::rate("rate = 30", "rate = -3", "organisation.school.rate = -3: ")]
 #[case::burst("burst = 10", "burst = nan", "organisation.school.burst = NaN: ")]
-fn a_bad_organisation_is_named_without_its_key(
+fn invalid_organisation_is_reported_without_key(
     #[case] good: &str,
     #[case] bad: &str,
     #[case] message: &str,
@@ -89,14 +91,15 @@
     assert!(!text.contains("secret"), "{text}");
 }
 
+/// Guards against keys longer than a header may hold, and against an error that contains the key.
 #[test]
-fn an_over_long_key_is_refused() {
+fn too_long_api_key_is_refused() {
     let long = "k".repeat(129);
     let error = file(&TEXT.replace("third-secret", &long)).build(1);
     assert!(!error.unwrap_err().to_string().contains(&long));
 }
 
-/// Guards against keys in logs: whatever holds one may be printed for debugging.
+/// Guards against API keys in logs: each type that contains one may be printed with `Debug`.
 #[test]
 fn debug_hides_keys() {
     let site = file(TEXT).build(1).unwrap();
--- a/crates/chicoryrail-core/tests/site_file.rs
+++ b/crates/chicoryrail-core/tests/site_file.rs
@@ -1,4 +1,4 @@
-//! Configuration files of operators: what is taken, and how a bad value is told.
+//! Tests of configuration files: accepted fields, and errors for invalid values.
 
 use chicoryrail_core::RouteKind;
 use chicoryrail_core::SiteFile;
@@ -45,8 +45,9 @@
     toml::from_str(text).unwrap()
 }
 
+/// Guards against fields that are lost or changed when a file is built, or when a configuration is converted to a file.
 #[test]
-fn a_file_becomes_a_configuration_and_back() {
+fn file_round_trips_through_configuration() {
     let site = file(TEXT).build(4).unwrap();
     assert_eq!(site.version, 4);
     let order = site.route("shop.example", "/kits/order/1").unwrap();
@@ -87,14 +88,19 @@
 #[case::cold("cold_rate = 5.0", "cold_rate = -1.0", "service.kits.cold_rate = -1: ")]
 #[case::no_rate("cold_rate = 5.0", "", "service.kits.cold_rate = 0: ")]
 #[case::health("\"/healthz\"", "\"healthz\"", "service.kits.health = healthz: ")]
-fn a_bad_value_is_named(#[case] good: &str, #[case] bad: &str, #[case] start: &str) {
+fn invalid_value_is_reported_with_field(
+    #[case] good: &str,
+    #[case] bad: &str,
+    #[case] start: &str,
+) {
     let text = TEXT.replacen(good, bad, 1).replace("Shop", "shop");
     let error = file(&text).build(1).unwrap_err().to_string();
     assert!(error.starts_with(start), "{error}");
 }
 
+/// Guards against a misspelt field that is ignored, so that its default applies.
 #[test]
-fn an_unknown_field_is_named() {
+fn unknown_field_is_reported() {
     let text = TEXT.replace("keyed", "keyd");
     let error = toml::from_str::<SiteFile>(&text).unwrap_err().to_string();
     assert!(error.contains("keyd"), "{error}");
