--- a/crates/chicoryrail-runtime/src/bind.rs
+++ b/crates/chicoryrail-runtime/src/bind.rs
@@ -1,4 +1,4 @@
-//! Listeners of a process.
+//! Opens the listening sockets of a process.
 
 use std::net::SocketAddr;
 
@@ -7,15 +7,15 @@
 
 use crate::SettingError;
 
-/// Opens the listener of a setting, alone on its address.
+/// Opens a listener on `addr` without sharing the port.
 ///
-/// monoio shares a port by default (`SO_REUSEPORT`). Two processes that were given the same address
-/// would then both start, and each would get a part of the other's connections. An address is still
-/// taken over at once from a process that has ended.
+/// monoio sets `SO_REUSEPORT` by default. Two processes configured with the same address would then both
+/// start, and the kernel would split the connections between them. The address of a process that has ended
+/// can still be bound immediately.
 ///
 /// # Errors
 ///
-/// Returns the flag, the address and what the system says.
+/// Returns the setting's flag, the address and the system's error if the address can't be bound.
 ///
 /// # Example
 ///
@@ -29,8 +29,8 @@
 /// });
 /// ```
 pub fn bind(flag: &'static str, addr: SocketAddr) -> Result<TcpListener, SettingError> {
-    let alone = ListenerOpts::new().reuse_port(false);
-    TcpListener::bind_with_config(addr, &alone).map_err(|e| SettingError {
+    let opts = ListenerOpts::new().reuse_port(false);
+    TcpListener::bind_with_config(addr, &opts).map_err(|e| SettingError {
         flag,
         value: addr.to_string(),
         reason: e.to_string(),
--- a/crates/chicoryrail-runtime/src/callers/caller_io.rs
+++ b/crates/chicoryrail-runtime/src/callers/caller_io.rs
@@ -1,4 +1,4 @@
-//! The connection of a caller: read ahead while a request is served, with a bound on the time of a head.
+//! I/O of a caller's connection: reads ahead while a request is in flight, and limits the time for a request head.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -25,47 +25,47 @@
 use crate::Body;
 use crate::callers::HeadScanner;
 
-/// Number of requests of one connection that are being served.
+/// Number of requests in flight on one connection. Clones share the count.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct InService(Rc<Cell<u32>>);
+pub(crate) struct InFlight(Rc<Cell<u32>>);
 
-impl InService {
-    /// Counts a request until the guard is dropped.
-    pub(crate) fn begin(&self) -> ServiceGuard {
+impl InFlight {
+    /// Counts a request as in flight until the guard is dropped.
+    pub(crate) fn start(&self) -> InFlightGuard {
         self.0.set(self.0.get() + 1);
-        ServiceGuard(self.clone())
+        InFlightGuard(self.clone())
     }
 
-    /// Tells whether none is being served.
+    /// Returns `true` if no request is in flight.
     pub(crate) fn is_idle(&self) -> bool {
         self.0.get() == 0
     }
 }
 
-/// Counts a request as being served.
+/// Guard that counts a request as in flight.
 #[derive(Debug)]
-pub(crate) struct ServiceGuard(InService);
+pub(crate) struct InFlightGuard(InFlight);
 
-impl Drop for ServiceGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let count = &self.0.0;
         count.set(count.get() - 1);
     }
 }
 
-impl ServiceGuard {
-    /// Counts the request until its answer's body has ended.
-    pub(crate) fn until_sent(self, body: Body) -> Body {
-        Box::pin(Guarded { body, _guard: self })
+impl InFlightGuard {
+    /// Wraps the response body so that the request counts until the body is dropped.
+    pub(crate) fn guard_body(self, body: Body) -> Body {
+        Box::pin(GuardedBody { body, _guard: self })
     }
 }
 
-struct Guarded {
+struct GuardedBody {
     body: Body,
-    _guard: ServiceGuard,
+    _guard: InFlightGuard,
 }
 
-impl HttpBody for Guarded {
+impl HttpBody for GuardedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -85,20 +85,20 @@
     }
 }
 
-/// Bytes that are read of what a caller sent behind the request being served. More stay with the system, so
-/// a caller that sends on and on is held up; the largest head fits twice.
-const AHEAD: usize = 32 << 10;
+/// Bytes that are read ahead of the request in flight. Further bytes stay in the kernel's receive buffer, so a caller
+/// that keeps sending meets back pressure. The default head limit of 16 KiB fits twice.
+const MAX_READ_AHEAD_BYTES: usize = 32 << 10;
 
-/// Bytes that are read at a time.
-const STEP: usize = 16 << 10;
+/// Bytes of one read.
+const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// A caller's stream, read by the HTTP layer and, while a request is being served, read ahead.
+/// A caller's stream. hyper reads from it, and it is read ahead while a request is in flight.
 #[derive(Debug)]
 pub(crate) struct CallerStream<T> {
     inner: T,
     scanner: Rc<RefCell<HeadScanner>>,
-    /// Bytes that were read ahead.
-    ahead: BytesMut,
+    /// Bytes that were read ahead of hyper.
+    read_ahead: BytesMut,
 }
 
 impl<T: Read + Unpin> CallerStream<T> {
@@ -106,21 +106,21 @@
         Self {
             inner,
             scanner,
-            ahead: BytesMut::new(),
+            read_ahead: BytesMut::new(),
         }
     }
 
-    /// Reads ahead; ready when the caller has closed the connection, or it broke.
-    pub(crate) fn poll_left(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        while self.ahead.len() < AHEAD {
-            let mut storage = [MaybeUninit::uninit(); STEP];
-            let mut part = ReadBuf::uninit(&mut storage);
-            match Pin::new(&mut self.inner).poll_read(cx, part.unfilled()) {
+    /// Reads ahead. Ready when the caller has closed the connection or the read failed.
+    pub(crate) fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        while self.read_ahead.len() < MAX_READ_AHEAD_BYTES {
+            let mut storage = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
+            let mut chunk = ReadBuf::uninit(&mut storage);
+            match Pin::new(&mut self.inner).poll_read(cx, chunk.unfilled()) {
                 Poll::Pending => return Poll::Pending,
-                Poll::Ready(Ok(())) if !part.filled().is_empty() => {
-                    self.scanner.borrow_mut().feed(part.filled());
-                    self.ahead.extend_from_slice(part.filled());
-                    // The HTTP layer may wait for just these bytes, as the rest of a body.
+                Poll::Ready(Ok(())) if !chunk.filled().is_empty() => {
+                    self.scanner.borrow_mut().feed(chunk.filled());
+                    self.read_ahead.extend_from_slice(chunk.filled());
+                    // hyper may be waiting for these bytes as the rest of a request body.
                     cx.waker().wake_by_ref();
                 }
                 Poll::Ready(_) => return Poll::Ready(()),
@@ -134,44 +134,44 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        if !self.ahead.is_empty() {
-            let length = self.ahead.len().min(buf.remaining());
-            buf.put_slice(&self.ahead.split_to(length));
+        if !self.read_ahead.is_empty() {
+            let length = self.read_ahead.len().min(buf.remaining());
+            buf.put_slice(&self.read_ahead.split_to(length));
             return Poll::Ready(Ok(()));
         }
-        let mut storage = [MaybeUninit::uninit(); STEP];
-        let length = buf.remaining().min(STEP);
-        let mut part = ReadBuf::uninit(&mut storage[..length]);
-        let read = Pin::new(&mut self.inner).poll_read(cx, part.unfilled());
-        self.scanner.borrow_mut().feed(part.filled());
-        buf.put_slice(part.filled());
+        let mut storage = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
+        let length = buf.remaining().min(READ_CHUNK_BYTES);
+        let mut chunk = ReadBuf::uninit(&mut storage[..length]);
+        let read = Pin::new(&mut self.inner).poll_read(cx, chunk.unfilled());
+        self.scanner.borrow_mut().feed(chunk.filled());
+        buf.put_slice(chunk.filled());
         read
     }
 }
 
-/// The HTTP layer's side of a caller's connection. It fails where a head has begun and does not end in time.
+/// The I/O object that hyper reads a caller's connection through. A read fails if a request head takes too long.
 ///
-/// The HTTP layer has one bound for the wait before a head and for the head itself. Idle connections are
-/// kept long, so a caller that sends a byte now and then would hold its place for as long.
+/// hyper has a single timeout for the idle time before a head and for the head itself. Idle connections stay open
+/// for long, so without this timeout a caller that sends a byte now and then could occupy a connection as long.
 pub(crate) struct CallerIo<T> {
     stream: Rc<RefCell<CallerStream<T>>>,
-    head_time: Duration,
-    service: InService,
-    /// Runs from the first byte of a head.
-    head: Option<Pin<Box<Sleep>>>,
+    head_timeout: Duration,
+    in_flight: InFlight,
+    /// Timer that starts with the first byte of a head.
+    head_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl<T> CallerIo<T> {
     pub(crate) const fn new(
         stream: Rc<RefCell<CallerStream<T>>>,
-        head_time: Duration,
-        service: InService,
+        head_timeout: Duration,
+        in_flight: InFlight,
     ) -> Self {
         Self {
             stream,
-            head_time,
-            service,
-            head: None,
+            head_timeout,
+            in_flight,
+            head_timer: None,
         }
     }
 }
@@ -182,20 +182,20 @@
         cx: &mut Context<'_>,
         buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        if !self.service.is_idle() {
-            self.head = None;
+        if !self.in_flight.is_idle() {
+            self.head_timer = None;
         }
-        let part = self.stream.borrow_mut().poll_read(cx, buf);
-        if self.service.is_idle() && self.head.is_none() && part.is_ready() {
-            self.head = Some(Box::pin(sleep(self.head_time)));
+        let read = self.stream.borrow_mut().poll_read(cx, buf);
+        if self.in_flight.is_idle() && self.head_timer.is_none() && read.is_ready() {
+            self.head_timer = Some(Box::pin(sleep(self.head_timeout)));
         }
-        if part.is_pending()
-            && let Some(head) = &mut self.head
-            && head.as_mut().poll(cx).is_ready()
+        if read.is_pending()
+            && let Some(timer) = &mut self.head_timer
+            && timer.as_mut().poll(cx).is_ready()
         {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
-        part
+        read
     }
 }
 
--- a/crates/chicoryrail-runtime/src/callers/head_scanner.rs
+++ b/crates/chicoryrail-runtime/src/callers/head_scanner.rs
@@ -1,4 +1,4 @@
-//! Where the heads of requests begin and end in a caller's bytes.
+//! Finds request heads in the bytes of a caller's connection.
 
 use std::collections::VecDeque;
 
@@ -16,156 +16,161 @@
 use http::header::TRANSFER_ENCODING;
 use http::header::UPGRADE;
 
-/// Most headers of a head that is scanned, whatever the listener admits.
-const MOST_HEADERS: usize = 128;
+/// Largest number of headers in a scanned head, independent of the listener's limit.
+const MAX_HEADERS: usize = 128;
 
-/// Finds the heads of requests in the bytes of one connection, in order.
+/// Finds the request heads in the bytes of one connection, in order.
 ///
-/// The HTTP layer serves one request of a connection after the other. What it will come to next is told from
-/// the same bytes, with the same parser, so that a request can begin early. Wherever the end of a request
-/// can't be told for sure (a body in chunks, a head that is no head), nothing is found any more: everything
-/// behind is left to the HTTP layer alone.
+/// hyper serves the requests of a connection one after the other. The scanner reads the same bytes with the same
+/// parser, so that a later request can start early. Where the end of a request is uncertain (a chunked body, an invalid
+/// head), the scanner stops for good and leaves the rest of the connection to hyper.
 #[derive(Debug)]
 pub struct HeadScanner {
-    /// The start of a head that is not whole yet.
-    head: BytesMut,
-    /// Bytes of a body that are still to come.
-    body: u64,
-    lost: bool,
-    limit: usize,
-    found: VecDeque<ScannedHead>,
+    /// Start of a head that is not complete yet.
+    partial_head: BytesMut,
+    /// Bytes of the current body that were not received yet.
+    body_left: u64,
+    /// Whether scanning has stopped for good.
+    stopped: bool,
+    /// Largest head in bytes.
+    max_head: usize,
+    heads: VecDeque<ScannedHead>,
 }
 
-/// The head of a request as it was found in a caller's bytes.
+/// A request head that was found in the bytes of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScannedHead {
     bytes: Bytes,
-    /// Whether the request has no body and leaves the connection open for the next one.
-    pub plain: bool,
+    /// Whether the request has no body and keeps the connection open for the next one.
+    pub pipelinable: bool,
 }
 
 impl HeadScanner {
-    /// Scans heads of at most `limit` bytes.
+    /// Returns a scanner for heads of at most `max_head` bytes.
     #[must_use]
-    pub fn new(limit: usize) -> Self {
+    pub fn new(max_head: usize) -> Self {
         Self {
-            head: BytesMut::new(),
-            body: 0,
-            lost: false,
-            limit,
-            found: VecDeque::new(),
+            partial_head: BytesMut::new(),
+            body_left: 0,
+            stopped: false,
+            max_head,
+            heads: VecDeque::new(),
         }
     }
 
-    /// Takes in the next bytes of the connection.
+    /// Scans the next bytes of the connection.
     pub fn feed(&mut self, mut bytes: &[u8]) {
-        let skipped = self.body.min(bytes.len() as u64);
-        self.body -= skipped;
+        let skipped = self.body_left.min(bytes.len() as u64);
+        self.body_left -= skipped;
         bytes = &bytes[skipped as usize..];
-        if self.lost || bytes.is_empty() {
+        if self.stopped || bytes.is_empty() {
             return;
         }
-        // A caller that sends byte by byte would have the same start parsed again for each.
-        let from = self.head.len().saturating_sub(3);
-        self.head.extend_from_slice(bytes);
-        if !holds_empty_line(&self.head[from..]) {
-            self.lost = self.head.len() > self.limit;
+        // Parses only at the end of a head: otherwise a caller that sends byte by byte would have the start of its head
+        // parsed again for every byte.
+        let from = self.partial_head.len().saturating_sub(3);
+        self.partial_head.extend_from_slice(bytes);
+        if !has_empty_line(&self.partial_head[from..]) {
+            self.stopped = self.partial_head.len() > self.max_head;
             return;
         }
-        while self.body == 0 && !self.lost && !self.head.is_empty() {
-            if !self.take_head() {
+        while self.body_left == 0 && !self.stopped && !self.partial_head.is_empty() {
+            if !self.parse_head() {
                 break;
             }
         }
     }
 
-    /// Returns the next head, in the order of the requests.
+    /// Returns the next complete head, in the order of the requests.
     pub fn next_head(&mut self) -> Option<ScannedHead> {
-        self.found.pop_front()
+        self.heads.pop_front()
     }
 
-    /// Takes the first head out of the bytes at hand; tells whether there was a whole one.
-    fn take_head(&mut self) -> bool {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    /// Removes the first head from the buffered bytes. Returns `false` if it is incomplete or invalid.
+    fn parse_head(&mut self) -> bool {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        let length = match request.parse(&self.head) {
+        let length = match request.parse(&self.partial_head) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => {
-                self.lost = self.head.len() > self.limit;
+                self.stopped = self.partial_head.len() > self.max_head;
                 return false;
             }
             Err(_) => {
-                self.lost = true;
+                self.stopped = true;
                 return false;
             }
         };
-        let framing = Framing::of(&request);
-        let plain = matches!(framing, Framing::Plain);
-        let bytes = self.head.split_to(length).freeze();
-        self.found.push_back(ScannedHead { bytes, plain });
+        let framing = Framing::from_request(&request);
+        let pipelinable = matches!(framing, Framing::NoBody);
+        let bytes = self.partial_head.split_to(length).freeze();
+        self.heads.push_back(ScannedHead { bytes, pipelinable });
         match framing {
-            Framing::Plain => {}
+            Framing::NoBody => {}
             Framing::Body(length) => {
-                let here = length.min(self.head.len() as u64);
-                let _ = self.head.split_to(here as usize);
-                self.body = length - here;
+                let buffered = length.min(self.partial_head.len() as u64);
+                let _ = self.partial_head.split_to(buffered as usize);
+                self.body_left = length - buffered;
             }
-            Framing::Unclear => self.lost = true,
+            Framing::Unknown => self.stopped = true,
         }
-        if self.lost {
-            self.head = BytesMut::new();
+        if self.stopped {
+            self.partial_head = BytesMut::new();
         }
         true
     }
 }
 
-/// What follows a head.
+/// What follows a request head.
 enum Framing {
-    /// The next head.
-    Plain,
-    /// A body of that length.
+    /// The next head: the request has no body and keeps the connection open.
+    NoBody,
+    /// A body of this length in bytes.
     Body(u64),
-    /// Something whose end is not told here.
-    Unclear,
+    /// Data whose end the scanner does not determine.
+    Unknown,
 }
 
 impl Framing {
-    fn of(request: &httparse::Request<'_, '_>) -> Self {
+    fn from_request(request: &httparse::Request<'_, '_>) -> Self {
         let mut length = None;
         for header in request.headers.iter() {
-            let is = |name: &HeaderName| header.name.eq_ignore_ascii_case(name.as_str());
-            let keeps = header
+            let is_named = |name: &HeaderName| header.name.eq_ignore_ascii_case(name.as_str());
+            let keep_alive = header
                 .value
                 .trim_ascii()
                 .eq_ignore_ascii_case(b"keep-alive");
-            if is(&TRANSFER_ENCODING) || is(&UPGRADE) || is(&EXPECT) || (is(&CONNECTION) && !keeps)
+            if is_named(&TRANSFER_ENCODING)
+                || is_named(&UPGRADE)
+                || is_named(&EXPECT)
+                || (is_named(&CONNECTION) && !keep_alive)
             {
-                return Self::Unclear;
+                return Self::Unknown;
             }
-            if is(&CONTENT_LENGTH) {
+            if is_named(&CONTENT_LENGTH) {
                 let text = std::str::from_utf8(header.value).ok();
                 let number = text.filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
                 match number.and_then(|t| t.parse::<u64>().ok()) {
                     Some(number) if length.is_none() => length = Some(number),
-                    _ => return Self::Unclear,
+                    _ => return Self::Unknown,
                 }
             }
         }
         if request.version != Some(1) || request.method == Some(Method::CONNECT.as_str()) {
-            return Self::Unclear;
+            return Self::Unknown;
         }
         match length {
-            None | Some(0) => Self::Plain,
+            None | Some(0) => Self::NoBody,
             Some(length) => Self::Body(length),
         }
     }
 }
 
 impl ScannedHead {
-    /// Reads the head; `None` for one that the HTTP layer would not take either.
+    /// Parses the head. Returns `None` for a head that hyper would reject too.
     #[must_use]
     pub fn request(&self) -> Option<Request<()>> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         parsed.parse(&self.bytes).ok()?;
         let mut request = Request::new(());
@@ -181,6 +186,6 @@
     }
 }
 
-fn holds_empty_line(bytes: &[u8]) -> bool {
+fn has_empty_line(bytes: &[u8]) -> bool {
     bytes.windows(2).any(|w| w == b"\n\n") || bytes.windows(3).any(|w| w == b"\n\r\n")
 }
--- a/crates/chicoryrail-runtime/src/callers/http_server.rs
+++ b/crates/chicoryrail-runtime/src/callers/http_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 listener with bounds on every caller.
+//! HTTP/1.1 server with limits on every caller.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -39,24 +39,24 @@
 use crate::callers::HeadScanner;
 use crate::callers::caller_io::CallerIo;
 use crate::callers::caller_io::CallerStream;
-use crate::callers::caller_io::InService;
+use crate::callers::caller_io::InFlight;
+use crate::callers::pipeline::Callbacks;
 use crate::callers::pipeline::Pipeline;
-use crate::callers::pipeline::Serve;
 use crate::says_close;
 
-/// Bounds on what callers may use of a listener.
+/// Limits on what callers may use of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
-    /// Largest head of a request in bytes, at least 8192.
+    /// Largest request head in bytes. Values below 8192 count as 8192.
     pub head: usize,
-    /// Most headers of a request.
+    /// Largest number of headers of a request.
     pub headers: usize,
-    /// Time in which a head must arrive, from its first byte on.
+    /// Timeout for receiving a request head, from its first byte.
     pub head_time: Millis,
-    /// Time for which a connection without a request is kept.
+    /// Time for which a connection without a request is kept open.
     pub idle: Millis,
-    /// Connections open at a time. One more is closed at once, so that the file descriptors needed
-    /// for servers and peers stay free.
+    /// Most connections open at a time. Further ones are closed on accept, so that the file descriptors
+    /// needed for servers and peers stay free.
     pub connections: u32,
 }
 
@@ -72,23 +72,25 @@
     }
 }
 
-/// Most connections that are taken in after the stop; the system keeps about a thousand of them
-/// ready.
-const LAST_ACCEPTS: u32 = 1_024;
+/// Most connections accepted after the stop. The kernel's accept queue contains about a thousand.
+const MAX_FINAL_ACCEPTS: u32 = 1_024;
 
-/// Looks at a connection without a request before it is closed at a stop, and the time between two
-/// of them: together far above the time that a first request is on its way after its connect.
-const FIRST_LOOKS: u32 = 20;
-const FIRST_WAIT: Millis = Millis(5);
+/// Number of checks for a first request on a connection without one, before it is closed at a stop.
+const FIRST_REQUEST_CHECKS: u32 = 20;
 
-/// Time without a new connection after which the listener is closed at a stop.
-const LAST_WAIT: Millis = Millis(10);
+/// Time between two of these checks. All checks together last far longer than a first request takes to arrive after
+/// its connect.
+const FIRST_REQUEST_WAIT: Millis = Millis(5);
 
-/// Bounds that may change while a listener serves; they hold for connections that come after.
+/// Time without a new connection after which a stopping listener is closed.
+const FINAL_ACCEPT_WAIT: Millis = Millis(10);
+
+/// Limits that may change while a listener serves. A change applies to connections accepted later.
 pub type SharedLimits = Rc<Cell<HttpLimits>>;
 
-/// Serves a listener under fixed limits until `stop` is cancelled and the connections then open have
-/// ended, as [`serve_http_shared`] does.
+/// Serves a listener with fixed limits and without starting pipelined requests early.
+///
+/// Returns when `stop` is cancelled and the open connections have ended; see [`serve_http_shared`].
 pub async fn serve_http<H, F>(
     listener: TcpListener,
     limits: HttpLimits,
@@ -102,36 +104,36 @@
     serve_http_shared(listener, limits, stop, handler, |_| false).await;
 }
 
-/// Serves a listener until `stop` is cancelled and the connections then open have ended.
+/// Serves a listener until `stop` is cancelled and the open connections have ended.
 ///
-/// At the stop each connection finishes the request it is in, says `connection: close` and ends, so
-/// a planned stop cuts no request. Requests that a caller sends before the one in front is answered begin
-/// side by side as long as `early` says so of each; answers leave in the order of the requests.
+/// At the stop each connection finishes its requests in flight, sends `connection: close` and ends, so a planned stop
+/// cuts no request. Pipelined requests are served concurrently as long as `can_start_early` returns `true` for each of
+/// them. Responses keep the order of the requests.
 pub async fn serve_http_shared<H, F, E>(
     listener: TcpListener,
     limits: SharedLimits,
     stop: CancellationToken,
     handler: H,
-    early: E,
+    can_start_early: E,
 ) where
     H: Fn(Request<Body>, SocketAddr) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
     E: Fn(&Parts) -> bool + 'static,
 {
     let handler = Rc::new(handler);
-    let early = Rc::new(early);
+    let can_start_early = Rc::new(can_start_early);
     let open = Rc::new(Cell::new(0_u32));
-    let take = |stream, addr| {
+    let accept = |stream, addr| {
         open.set(open.get() + 1);
         let (open, handler, stop) = (Rc::clone(&open), Rc::clone(&handler), stop.clone());
-        let early = Rc::clone(&early);
-        let serve = Serve {
-            begin: Box::new(move |request| Box::pin(handler(request, addr))),
-            early: Box::new(move |head| early(head)),
+        let can_start_early = Rc::clone(&can_start_early);
+        let callbacks = Callbacks {
+            start: Box::new(move |request| Box::pin(handler(request, addr))),
+            can_start_early: Box::new(move |head| can_start_early(head)),
         };
         let limits = limits.get();
         monoio::spawn(async move {
-            connection(stream, limits, stop, serve).await;
+            serve_connection(stream, limits, stop, callbacks).await;
             open.set(open.get() - 1);
         });
     };
@@ -142,20 +144,21 @@
         select_biased! {
             () = stopped => break,
             result = accepted => match result {
-                Ok((stream, addr)) if open.get() < limits.get().connections => take(stream, addr),
+                Ok((stream, addr)) if open.get() < limits.get().connections => accept(stream, addr),
                 Ok(_) => {}
-                // Out of file descriptors: a short rest in place of a busy loop.
+                // Out of file descriptors: waits a little to avoid a busy loop.
                 Err(_) => monoio::time::sleep(Millis(10).duration()).await,
             },
         }
     }
-    // Connections that the system has accepted already have sent a request, or are about to: closing
-    // the listener would reset them. They get their first answer.
-    for _ in 0..LAST_ACCEPTS {
-        let Ok(Ok((stream, addr))) = timeout(LAST_WAIT.duration(), listener.accept()).await else {
+    // Connections in the kernel's accept queue have sent a request or are about to, and closing the listener would
+    // reset them. They are accepted and get one response.
+    for _ in 0..MAX_FINAL_ACCEPTS {
+        let Ok(Ok((stream, addr))) = timeout(FINAL_ACCEPT_WAIT.duration(), listener.accept()).await
+        else {
             break;
         };
-        take(stream, addr);
+        accept(stream, addr);
     }
     drop(listener);
     while open.get() > 0 {
@@ -163,23 +166,28 @@
     }
 }
 
-async fn connection(stream: TcpStream, limits: HttpLimits, stop: CancellationToken, serve: Serve) {
+async fn serve_connection(
+    stream: TcpStream,
+    limits: HttpLimits,
+    stop: CancellationToken,
+    callbacks: Callbacks,
+) {
     let _ = stream.set_nodelay(true);
     let Ok(io) = stream.try_into_poll_io() else {
         return;
     };
-    // The HTTP layer takes no smaller bound.
+    // hyper panics on a smaller buffer.
     let head = limits.head.max(8_192);
     let scanner = Rc::new(RefCell::new(HeadScanner::new(head)));
     let stream = CallerStream::new(MonoioIo::new(io), Rc::clone(&scanner));
     let stream = Rc::new(RefCell::new(stream));
-    let pipeline = Rc::new(RefCell::new(Pipeline::new(serve, scanner)));
-    let asked = Rc::new(Cell::new(false));
-    let service = InService::default();
+    let pipeline = Rc::new(RefCell::new(Pipeline::new(callbacks, scanner)));
+    let has_request = Rc::new(Cell::new(false));
+    let in_flight = InFlight::default();
     let io = CallerIo::new(
         Rc::clone(&stream),
         limits.head_time.duration(),
-        service.clone(),
+        in_flight.clone(),
     );
     let served = http1::Builder::new()
         .timer(MonoioTimer)
@@ -188,71 +196,80 @@
         .max_buf_size(head)
         .half_close(false)
         .serve_connection(io, {
-            let (pipeline, asked, service) =
-                (Rc::clone(&pipeline), Rc::clone(&asked), service.clone());
+            let (pipeline, has_request, in_flight) = (
+                Rc::clone(&pipeline),
+                Rc::clone(&has_request),
+                in_flight.clone(),
+            );
             service_fn(move |request: Request<Incoming>| {
-                asked.set(true);
-                let guard = service.begin();
+                has_request.set(true);
+                let guard = in_flight.start();
                 let request = request.map(|b| -> Body { Box::pin(b.map_err(io::Error::other)) });
-                let answer = pipeline.borrow_mut().turn(request);
+                let response = pipeline.borrow_mut().serve_current(request);
                 let pipeline = Rc::clone(&pipeline);
                 async move {
-                    let mut answer = answer.await;
-                    close_with_last(&mut pipeline.borrow_mut(), &mut answer);
-                    Ok::<_, Infallible>(answer.map(|body| guard.until_sent(body)))
+                    let mut response = response.await;
+                    set_connection_close(&mut pipeline.borrow_mut(), &mut response);
+                    Ok::<_, Infallible>(response.map(|body| guard.guard_body(body)))
                 }
             })
         });
     let mut served = pin!(served);
-    // Ready when the connection has ended, or its caller has left.
+    // Ready when the connection has ended or its caller has disconnected.
     let drive = |served: Pin<&mut Http1<_, _>>, cx: &mut Context<'_>| -> Poll<()> {
         if served.poll(cx).is_ready() {
             return Poll::Ready(());
         }
-        let left = !service.is_idle() && stream.borrow_mut().poll_left(cx).is_ready();
-        pipeline.borrow_mut().go_on(cx);
-        if left { Poll::Ready(()) } else { Poll::Pending }
+        let disconnected =
+            !in_flight.is_idle() && stream.borrow_mut().poll_disconnect(cx).is_ready();
+        pipeline.borrow_mut().poll_queued(cx);
+        if disconnected {
+            Poll::Ready(())
+        } else {
+            Poll::Pending
+        }
     };
     let stopped = pin!(stop.cancelled());
     let ended = pin!(poll_fn(|cx| drive(served.as_mut(), cx)));
     if let Either::Left(_) = select(ended, stopped).await {
         return;
     }
-    // A connection without a request so far is closed by the shutdown at once, although its first request may
-    // be on its way.
-    for _ in 0..FIRST_LOOKS {
-        if asked.get() {
+    // hyper's graceful shutdown closes a connection without a request at once, although its first request may be
+    // in transit.
+    for _ in 0..FIRST_REQUEST_CHECKS {
+        if has_request.get() {
             break;
         }
         let ended = poll_fn(|cx| drive(served.as_mut(), cx));
-        if timeout(FIRST_WAIT.duration(), ended).await.is_ok() {
+        if timeout(FIRST_REQUEST_WAIT.duration(), ended).await.is_ok() {
             return;
         }
     }
-    // Requests that were begun early are answered before the connection ends: their servers are at work.
+    // Requests that were started early are answered before the connection ends, since servers are processing them.
     pipeline.borrow_mut().close();
-    let answered = poll_fn(|cx| {
+    let has_ended = poll_fn(|cx| {
         let ended = drive(served.as_mut(), cx);
-        if pipeline.borrow().has_begun() {
+        if pipeline.borrow().has_started() {
             return ended.map(|()| true);
         }
         Poll::Ready(ended.is_ready())
     });
-    if answered.await {
+    if has_ended.await {
         return;
     }
     served.as_mut().graceful_shutdown();
     poll_fn(|cx| drive(served.as_mut(), cx)).await;
 }
 
-/// Says with the last answer that the connection is to be closed, and with none before it: requests that were begun
-/// early are at work at their servers.
-fn close_with_last(pipeline: &mut Pipeline, answer: &mut Response<Body>) {
-    if says_close(answer.headers()) {
+/// Sets `connection: close` on the last response of a closing connection and removes it from earlier ones.
+///
+/// Requests that were started early are still being processed by their servers and must be answered first.
+fn set_connection_close(pipeline: &mut Pipeline, response: &mut Response<Body>) {
+    if says_close(response.headers()) {
         pipeline.close();
     }
-    let headers = answer.headers_mut();
-    if pipeline.has_begun() {
+    let headers = response.headers_mut();
+    if pipeline.has_started() {
         headers.remove(CONNECTION);
     } else if pipeline.is_closing() {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/chicoryrail-runtime/src/callers/mod.rs
+++ b/crates/chicoryrail-runtime/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: bounds on what they may use, and requests that are sent behind one another.
+//! Serves callers' connections: limits on their use of the listener, and pipelined requests.
 
 mod caller_io;
 mod head_scanner;
--- a/crates/chicoryrail-runtime/src/callers/pipeline.rs
+++ b/crates/chicoryrail-runtime/src/callers/pipeline.rs
@@ -1,4 +1,4 @@
-//! Requests that a caller sent behind one that is being served.
+//! Pipelined requests of a caller: those sent before the responses to earlier ones.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -16,154 +16,155 @@
 use crate::callers::ScannedHead;
 use crate::empty;
 
-/// Most requests of one connection that are served beside the one whose turn it is. Each may hold a server's
-/// slot and an answer in memory. A caller with more has eight answers at a time, which hides the wait for a
-/// server as well as a hundred would.
-pub(crate) const MOST_AHEAD: usize = 8;
-
-/// An answer in the making.
-pub(crate) type Answering = Pin<Box<dyn Future<Output = Response<Body>>>>;
-
-/// How requests are served.
-pub(crate) struct Serve {
-    /// Begins a request.
-    pub(crate) begin: Box<dyn Fn(Request<Body>) -> Answering>,
-    /// Tells whether a request may begin before those in front of it are answered, and let those behind it
-    /// begin.
-    pub(crate) early: Box<dyn Fn(&Parts) -> bool>,
+/// Most requests of one connection that are served concurrently with the current one. Each may occupy a server's slot
+/// and keep a response in memory. Eight hide a server's latency as well as a hundred would.
+pub(crate) const MAX_EARLY_STARTS: usize = 8;
+
+/// A response that is being produced.
+pub(crate) type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>>>>;
+
+/// Callbacks of a [`Pipeline`].
+pub(crate) struct Callbacks {
+    /// Starts a request.
+    pub(crate) start: Box<dyn Fn(Request<Body>) -> ResponseFuture>,
+    /// Returns `true` if a request may start before the earlier ones are answered, and later ones may start before
+    /// this one is answered.
+    pub(crate) can_start_early: Box<dyn Fn(&Parts) -> bool>,
 }
 
-/// Requests of one connection that are known beyond the one whose turn it is.
+/// Serves the pipelined requests of one connection concurrently.
 ///
-/// Load: callers that send several lookups before the first answer. The HTTP layer takes a request when the one
-/// in front of it is answered, so each waits for all in front of it, and its time passes. Here they are
-/// served side by side; answers leave in the order of the requests, since the HTTP layer still asks for them
-/// one by one. A request that may run once, or has a body, begins when its turn comes, and nothing behind it
-/// begins before that.
+/// Callers may send several lookups before the first response. hyper starts a request only when the previous one is
+/// answered, so each would wait for all earlier ones while its deadline approaches. A pipeline starts them early.
+/// Responses keep the order of the requests, since hyper reads and answers the requests one by one. A request that
+/// must not run twice or has a body starts only when it is the current one, and no later request starts before it.
 pub(crate) struct Pipeline {
-    serve: Serve,
+    callbacks: Callbacks,
     scanner: Rc<RefCell<HeadScanner>>,
-    behind: VecDeque<Behind>,
-    /// Whether the request whose turn it is lets those behind it begin.
-    open: bool,
-    /// Whether the connection is to end: nothing more begins early.
+    queue: VecDeque<QueuedRequest>,
+    /// Whether the current request allows later ones to start early.
+    allows_early: bool,
+    /// Whether the connection is being closed: no further request starts early.
     closing: bool,
 }
 
-/// A request behind the one whose turn it is.
-struct Behind {
+/// A request that hyper has not read yet.
+struct QueuedRequest {
     head: ScannedHead,
-    begun: Option<Begun>,
+    started: Option<StartedRequest>,
 }
 
-/// A request that was begun early.
-struct Begun {
+/// A request that was started early.
+struct StartedRequest {
     request: Request<()>,
-    answer: Answer,
+    response: ResponseState,
 }
 
-enum Answer {
-    Coming(Answering),
+enum ResponseState {
+    Pending(ResponseFuture),
     Ready(Response<Body>),
 }
 
 impl Pipeline {
-    pub(crate) fn new(serve: Serve, scanner: Rc<RefCell<HeadScanner>>) -> Self {
+    pub(crate) fn new(callbacks: Callbacks, scanner: Rc<RefCell<HeadScanner>>) -> Self {
         Self {
-            serve,
+            callbacks,
             scanner,
-            behind: VecDeque::new(),
-            open: false,
+            queue: VecDeque::new(),
+            allows_early: false,
             closing: false,
         }
     }
 
-    /// Serves the request whose turn has come; one that was begun early goes on.
-    pub(crate) fn turn(&mut self, request: Request<Body>) -> Answering {
-        self.find();
+    /// Serves the request that hyper has read, now the current one. If it was started early, returns its response.
+    pub(crate) fn serve_current(&mut self, request: Request<Body>) -> ResponseFuture {
+        self.queue_scanned();
         let (parts, body) = request.into_parts();
-        let behind = self.behind.pop_front();
-        let plain = behind.as_ref().is_some_and(|b| b.head.plain);
-        self.open = plain && (self.serve.early)(&parts);
-        if let Some(begun) = behind.and_then(|b| b.begun) {
-            if begun.is(&parts) {
-                return match begun.answer {
-                    Answer::Coming(answer) => answer,
-                    Answer::Ready(answer) => Box::pin(std::future::ready(answer)),
+        let queued = self.queue.pop_front();
+        let pipelinable = queued.as_ref().is_some_and(|q| q.head.pipelinable);
+        self.allows_early = pipelinable && (self.callbacks.can_start_early)(&parts);
+        if let Some(started) = queued.and_then(|q| q.started) {
+            if started.matches(&parts) {
+                return match started.response {
+                    ResponseState::Pending(response) => response,
+                    ResponseState::Ready(response) => Box::pin(std::future::ready(response)),
                 };
             }
-            // What was begun is none of what the HTTP layer reads. Nothing found here can be trusted.
-            log::error!(begun:% = begun.request.uri(), read:% = parts.uri; "pipeline_differs");
+            // The request started early differs from the one that hyper read, so no scanned head can be trusted.
+            log::error!(begun:% = started.request.uri(), read:% = parts.uri; "pipeline_differs");
             self.closing = true;
-            self.behind.clear();
+            self.queue.clear();
         }
-        (self.serve.begin)(Request::from_parts(parts, body))
+        (self.callbacks.start)(Request::from_parts(parts, body))
     }
 
-    /// Begins what may begin, and lets what was begun go on.
-    pub(crate) fn go_on(&mut self, cx: &mut Context<'_>) {
-        self.find();
-        if self.open && !self.closing {
-            self.begin_early();
+    /// Starts the requests that may start early, and polls those already started.
+    pub(crate) fn poll_queued(&mut self, cx: &mut Context<'_>) {
+        self.queue_scanned();
+        if self.allows_early && !self.closing {
+            self.start_early();
         }
-        for begun in self.behind.iter_mut().filter_map(|b| b.begun.as_mut()) {
-            if let Answer::Coming(answer) = &mut begun.answer
-                && let Poll::Ready(answer) = answer.as_mut().poll(cx)
+        for started in self.queue.iter_mut().filter_map(|q| q.started.as_mut()) {
+            if let ResponseState::Pending(response) = &mut started.response
+                && let Poll::Ready(response) = response.as_mut().poll(cx)
             {
-                begun.answer = Answer::Ready(answer);
+                started.response = ResponseState::Ready(response);
             }
         }
     }
 
-    /// Lets nothing more begin early; those that were begun are still answered.
+    /// Stops starting requests early. Those already started are still answered.
     pub(crate) fn close(&mut self) {
         self.closing = true;
     }
 
-    /// Tells whether the connection is to end.
+    /// Returns `true` if the connection is being closed.
     pub(crate) const fn is_closing(&self) -> bool {
         self.closing
     }
 
-    /// Tells whether requests were begun whose turn has not come.
-    pub(crate) fn has_begun(&self) -> bool {
-        self.behind.front().is_some_and(|b| b.begun.is_some())
+    /// Returns `true` if the next request was started early.
+    pub(crate) fn has_started(&self) -> bool {
+        self.queue.front().is_some_and(|q| q.started.is_some())
     }
 
-    fn find(&mut self) {
+    fn queue_scanned(&mut self) {
         let mut scanner = self.scanner.borrow_mut();
         while let Some(head) = scanner.next_head() {
-            self.behind.push_back(Behind { head, begun: None });
+            self.queue.push_back(QueuedRequest {
+                head,
+                started: None,
+            });
         }
     }
 
-    fn begin_early(&mut self) {
-        for behind in self.behind.iter_mut().take(MOST_AHEAD) {
-            if behind.begun.is_some() {
+    fn start_early(&mut self) {
+        for queued in self.queue.iter_mut().take(MAX_EARLY_STARTS) {
+            if queued.started.is_some() {
                 continue;
             }
-            if !behind.head.plain {
+            if !queued.head.pipelinable {
                 return;
             }
-            let Some(request) = behind.head.request() else {
+            let Some(request) = queued.head.request() else {
                 return;
             };
             let (parts, ()) = request.clone().into_parts();
-            if !(self.serve.early)(&parts) {
+            if !(self.callbacks.can_start_early)(&parts) {
                 return;
             }
-            let answer = (self.serve.begin)(Request::from_parts(parts, empty()));
-            behind.begun = Some(Begun {
+            let response = (self.callbacks.start)(Request::from_parts(parts, empty()));
+            queued.started = Some(StartedRequest {
                 request,
-                answer: Answer::Coming(answer),
+                response: ResponseState::Pending(response),
             });
         }
     }
 }
 
-impl Begun {
-    /// Tells whether a request that the HTTP layer has read is this one.
-    fn is(&self, parts: &Parts) -> bool {
+impl StartedRequest {
+    /// Returns `true` if a request that hyper has read is this one.
+    fn matches(&self, parts: &Parts) -> bool {
         let own = &self.request;
         own.method() == parts.method && *own.uri() == parts.uri && *own.headers() == parts.headers
     }
--- a/crates/chicoryrail-runtime/src/clock.rs
+++ b/crates/chicoryrail-runtime/src/clock.rs
@@ -6,11 +6,11 @@
 use nix::time::ClockId;
 use nix::time::clock_gettime;
 
-/// A process's monotonic clock; its points are never sent to another process.
+/// The monotonic clock of one process. Its timestamps have no meaning in other processes and are never sent.
 ///
-/// It reads CLOCK_BOOTTIME, which goes on while a process is stopped and while its whole machine is
-/// suspended; CLOCK_MONOTONIC would stand still in the second case, and a holder of a lease that slept
-/// through its end would go on as if nothing had happened.
+/// It reads CLOCK_BOOTTIME, which advances while the process is stopped and while the machine is suspended.
+/// CLOCK_MONOTONIC does not advance during a suspend: a lease owner that is suspended past the end of its lease
+/// would continue as if the lease were still valid.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Duration,
@@ -22,7 +22,7 @@
 }
 
 impl Clock {
-    /// Starts a clock at zero.
+    /// Returns a clock that counts from zero.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -30,13 +30,13 @@
         }
     }
 
-    /// Reads the clock.
+    /// Returns the time since the clock was started, in milliseconds.
     #[must_use]
     pub fn now(&self) -> Millis {
         Millis::from(since_boot().saturating_sub(self.origin))
     }
 
-    /// Waits for `length`.
+    /// Sleeps for `length`.
     pub async fn sleep(&self, length: Millis) {
         monoio::time::sleep(length.duration()).await;
     }
--- a/crates/chicoryrail-runtime/src/end_to_end.rs
+++ b/crates/chicoryrail-runtime/src/hop_by_hop.rs
@@ -1,10 +1,10 @@
-//! Which headers go on.
+//! Removes hop-by-hop headers from forwarded messages.
 
 use http::HeaderMap;
 use http::HeaderName;
 use http::header;
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and are never forwarded.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -17,11 +17,11 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes the headers that concern one connection only, also those that the sender names as such.
+/// Removes the hop-by-hop headers, including those that the sender lists in its `connection` header.
 #[must_use]
 pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    if let Some(named) = headers.remove(header::CONNECTION) {
-        for name in named.to_str().unwrap_or("").split(',') {
+    if let Some(listed) = headers.remove(header::CONNECTION) {
+        for name in listed.to_str().unwrap_or("").split(',') {
             headers.remove(name.trim());
         }
     }
--- a/crates/chicoryrail-runtime/src/http_client.rs
+++ b/crates/chicoryrail-runtime/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client for the platform, targets' control and tools.
+//! HTTP/1.1 client for the platform, for the targets' control calls and for tools.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -15,141 +15,142 @@
 use snafu::Snafu;
 
 use crate::ServerConn;
-use crate::body::collect_pieces;
+use crate::body::collect_with_progress;
 use crate::full;
 
-/// Idle connections kept for each address. Control calls rarely overlap; more would count against
-/// the connection limit of a target.
-const IDLE_KEPT: usize = 4;
+/// Idle connections kept for each address. Control calls rarely overlap, and more connections would count
+/// against the target's connection limit.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug, Snafu)]
 pub enum HttpError {
-    /// The connection could not be made; nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     #[snafu(display("connect to {addr}: {source}"))]
     Connect {
         /// Address called.
         addr: SocketAddr,
-        /// What the system says.
+        /// Error of the system.
         source: io::Error,
     },
-    /// The call was sent, wholly or in part, and has no whole answer.
+    /// The request was sent, completely or in part, and no complete response head was received.
     #[snafu(display("call to {addr}: {source}"))]
     Call {
         /// Address called.
         addr: SocketAddr,
-        /// What the HTTP layer says.
+        /// Error of the HTTP layer.
         source: hyper::Error,
     },
-    /// The answer's body was cut or too long.
-    #[snafu(display("answer of {addr}: {source}"))]
-    Answer {
+    /// The response body ended early or is too long.
+    #[snafu(display("response from {addr}: {source}"))]
+    Response {
         /// Address called.
         addr: SocketAddr,
-        /// What went wrong.
+        /// Why the body could not be read.
         source: io::Error,
     },
-    /// No whole answer came in time.
-    #[snafu(display("no whole answer from {addr} in time, {received} bytes came"))]
+    /// No complete response was received in time.
+    #[snafu(display("no complete response from {addr} in time, received {received} bytes"))]
     Timeout {
         /// Address called.
         addr: SocketAddr,
-        /// Bytes of the answer's body that came.
+        /// Bytes of the response body that were received.
         received: usize,
     },
 }
 
-/// How long a call waits for an answer of any length.
+/// Timeouts of a call whose response may have any length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerWait {
-    /// Longest wait for its first piece.
+    /// Longest wait for the first data of the response body.
     pub first: Millis,
-    /// Longest wait for each further piece.
+    /// Longest wait for further data.
     pub further: Millis,
 }
 
 type Idle = HashMap<SocketAddr, Vec<ServerConn>>;
 
-/// A client that keeps idle connections; clones share them.
+/// An HTTP client that reuses idle connections. Clones share them.
 ///
-/// Bodies are held whole, up to a limit, so it is for control traffic and tools; callers' requests
-/// are streamed by the router.
+/// It buffers whole bodies, up to a limit, so it suits control traffic and tools. The router streams callers'
+/// requests instead.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     idle: Rc<RefCell<Idle>>,
-    limit: usize,
+    max_body: usize,
 }
 
 impl Default for HttpClient {
     fn default() -> Self {
         Self {
             idle: Rc::default(),
-            limit: 8 << 20,
+            max_body: 8 << 20,
         }
     }
 }
 
 impl HttpClient {
-    /// Sets the longest answer that is taken, in bytes.
+    /// Sets the longest response body that is accepted, in bytes. The default is 8 MiB.
     #[must_use]
     pub fn with_limit(mut self, bytes: usize) -> Self {
-        self.limit = bytes;
+        self.max_body = bytes;
         self
     }
 
-    /// Sends a request and returns the whole answer, which must be in within `limit`.
+    /// Sends a request and returns the whole response, which must be received within `time_limit`.
     ///
     /// # Errors
     ///
-    /// Returns an [`HttpError`] where no whole answer came within `limit`.
+    /// Returns an [`HttpError`] if no complete response was received within `time_limit`.
     pub async fn call(
         &self,
         addr: SocketAddr,
         request: http::Request<Bytes>,
-        limit: Millis,
+        time_limit: Millis,
     ) -> Result<http::Response<Bytes>, HttpError> {
         let received = Cell::new(0);
         let exchange = self.exchange(addr, request, &received);
-        match timeout(limit.duration(), exchange).await {
+        match timeout(time_limit.duration(), exchange).await {
             Ok(result) => result,
-            Err(_) => Err(self.gave_up(addr, received.get())),
+            Err(_) => Err(self.time_out(addr, received.get())),
         }
     }
 
-    /// Sends a request and returns the whole answer, which may take any time while more of it arrives.
+    /// Sends a request and returns the whole response, without a limit on the total time while data arrives.
     ///
-    /// A bound on the whole would have to know the size of the answer and the speed of the link: given up on a slow
-    /// link and asked for again, a long answer never gets through and fills the link with what is thrown away.
+    /// Calls `on_progress` after each wait in which data was received. A limit on the total time would depend on the
+    /// size of the response and the speed of the link: on a slow link, a long response that times out and is
+    /// requested again never completes, and the discarded data fills the link.
     ///
     /// # Errors
     ///
-    /// Returns an [`HttpError`] where a wait ended without a further piece of the answer.
+    /// Returns an [`HttpError`] if a wait ends without further data, or if the call fails.
     pub async fn call_while_arriving(
         &self,
         addr: SocketAddr,
         request: http::Request<Bytes>,
         wait: AnswerWait,
-        arrived: impl Fn(),
+        on_progress: impl Fn(),
     ) -> Result<http::Response<Bytes>, HttpError> {
         let received = Cell::new(0);
         let mut exchange = pin!(self.exchange(addr, request, &received));
-        let mut limit = wait.first;
+        let mut time_limit = wait.first;
         loop {
-            let before = received.get();
-            if let Ok(result) = timeout(limit.duration(), &mut exchange).await {
+            let last_received = received.get();
+            if let Ok(result) = timeout(time_limit.duration(), &mut exchange).await {
                 return result;
             }
-            if received.get() == before {
-                return Err(self.gave_up(addr, before));
+            if received.get() == last_received {
+                return Err(self.time_out(addr, last_received));
             }
-            arrived();
-            limit = wait.further;
+            on_progress();
+            time_limit = wait.further;
         }
     }
 
-    fn gave_up(&self, addr: SocketAddr, received: usize) -> HttpError {
-        // A connection that went silent for good looks idle; the others to the same address
-        // may have gone silent with it, and each would cost one more call its time.
+    fn time_out(&self, addr: SocketAddr, received: usize) -> HttpError {
+        // Drops the idle connections to this address: their path may be dead too, which does not show while
+        // they are idle, and each one would cost another call its timeout.
         self.idle.borrow_mut().remove(&addr);
         HttpError::Timeout { addr, received }
     }
@@ -165,28 +166,28 @@
             let host = addr
                 .to_string()
                 .parse()
-                .expect("an address is a valid header");
+                .expect("an address is a valid header value");
             head.headers.insert(http::header::HOST, host);
         }
         let mut conn = self.connection(addr).await?;
         let request = http::Request::from_parts(head, full(body));
-        let answer = conn
+        let response = conn
             .send
             .send_request(request)
             .await
             .context(CallSnafu { addr })?;
-        let (head, body) = answer.into_parts();
-        let count = |piece: &Bytes| received.set(received.get() + piece.len());
-        let body = collect_pieces(body, self.limit, count)
+        let (head, body) = response.into_parts();
+        let on_data = |data: &Bytes| received.set(received.get() + data.len());
+        let body = collect_with_progress(body, self.max_body, on_data)
             .await
-            .context(AnswerSnafu { addr })?;
-        // A connection that the other side closes after this answer still looks ready until its
-        // close is read; the next call on it would be lost.
+            .context(ResponseSnafu { addr })?;
+        // A connection that the peer closes after this response still appears ready until the close is read,
+        // and the next call on it would fail.
         if conn.send.is_ready() && !says_close(&head.headers) {
             let mut idle = self.idle.borrow_mut();
-            let kept = idle.entry(addr).or_default();
-            if kept.len() < IDLE_KEPT {
-                kept.push(conn);
+            let conns = idle.entry(addr).or_default();
+            if conns.len() < MAX_IDLE_CONNECTIONS {
+                conns.push(conn);
             }
         }
         Ok(http::Response::from_parts(head, body))
@@ -194,8 +195,8 @@
 
     async fn connection(&self, addr: SocketAddr) -> Result<ServerConn, HttpError> {
         loop {
-            let kept = self.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
-            match kept {
+            let idle = self.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
+            match idle {
                 Some(conn) if conn.send.is_ready() => return Ok(conn),
                 Some(_) => {}
                 None => break,
@@ -206,7 +207,7 @@
     }
 }
 
-/// Tells whether the sender of a message closes the connection after it.
+/// Returns `true` if the headers announce that the sender closes the connection after this message.
 #[must_use]
 pub fn says_close(headers: &http::HeaderMap) -> bool {
     headers
--- a/crates/chicoryrail-runtime/src/invariant.rs
+++ b/crates/chicoryrail-runtime/src/invariant.rs
@@ -1,24 +1,24 @@
-//! The closed set of what must hold at run time.
+//! The list of invariants that are checked at run time.
 
-/// What a router asserts while it runs; `docs/INVARIANTS.md` names safeguard and test of each.
+/// An invariant that a router asserts while it runs. `docs/INVARIANTS.md` lists the safeguard and the test of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// Who is to hold keys is in the store before a server is told.
+    /// The assignment of keys to a server is in the store before the server is sent a grant.
     StoredFirst,
-    /// A caller gets the answer to its own request.
+    /// A caller receives the response to its own request.
     OwnAnswer,
-    /// A refusal that says that a request has not run is true.
+    /// A request that is reported as not run has not run.
     NotRunTrue,
-    /// A request that may run once is sent again only after it is certain that no server ran it.
+    /// A request that must not run twice is retried only if it is certain that no server ran it.
     OrderOnce,
-    /// A configuration in force is replaced by a higher version only.
+    /// The active configuration is replaced only by one with a higher version.
     ConfigForward,
-    /// A key record is replaced by one of a higher fence only.
+    /// A key record is replaced only by one with a higher fencing token.
     FenceForward,
 }
 
 impl Invariant {
-    /// All invariants, in the order of their documentation.
+    /// All invariants, in the order of `docs/INVARIANTS.md`.
     pub const ALL: [Self; 6] = [
         Self::StoredFirst,
         Self::OwnAnswer,
@@ -28,7 +28,7 @@
         Self::FenceForward,
     ];
 
-    /// Returns the name in metrics and logs.
+    /// Returns the name used in metrics and logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
--- a/crates/chicoryrail-runtime/src/invariants.rs
+++ b/crates/chicoryrail-runtime/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Assertions that stay on in production.
+//! Assertions that stay enabled in production.
 
 use std::fmt::Display;
 
@@ -7,39 +7,39 @@
 use crate::Invariant;
 use crate::Metrics;
 
-/// Name of the environment variable that makes a broken invariant end the process.
-const ABORT: &str = "CHICORYRAIL_ABORT_ON_VIOLATION";
+/// Environment variable that makes an invariant violation abort the process.
+const ABORT_VAR: &str = "CHICORYRAIL_ABORT_ON_VIOLATION";
 
-/// Counts and logs broken invariants; clones share the counters.
+/// Counts and logs invariant violations. Clones share the counters.
 ///
-/// In production the process goes on: the safeguard next to the assertion has failed for one
-/// request, and ending the process would fail all. Where `CHICORYRAIL_ABORT_ON_VIOLATION` is `1`,
-/// as in tests, it aborts, so that no run passes over a violation.
+/// In production the process continues: a violation means that the safeguard next to the assertion failed for
+/// one request, and ending the process would fail all requests. If `CHICORYRAIL_ABORT_ON_VIOLATION` is `1`, as
+/// in tests, the process aborts, so that no run misses a violation.
 #[derive(Clone, Debug)]
 pub struct Invariants {
-    broken: IntCounterVec,
-    aborts: bool,
+    violations: IntCounterVec,
+    abort_on_violation: bool,
 }
 
 impl Invariants {
-    /// Builds the counters, all at 0.
+    /// Registers one counter for each invariant, all at 0.
     #[must_use]
     pub fn new(metrics: &Metrics) -> Self {
-        let broken = metrics.counters(
+        let violations = metrics.counters(
             "invariant_violations_total",
-            "Broken invariants; each is a fault of the program",
+            "Invariant violations; each one is a bug in the program",
             &["invariant"],
         );
         for invariant in Invariant::ALL {
-            let _ = broken.with_label_values(&[invariant.name()]);
+            let _ = violations.with_label_values(&[invariant.name()]);
         }
         Self {
-            broken,
-            aborts: std::env::var(ABORT).is_ok_and(|v| v == "1"),
+            violations,
+            abort_on_violation: std::env::var(ABORT_VAR).is_ok_and(|v| v == "1"),
         }
     }
 
-    /// Asserts that `holds`; `detail` is only written where it does not. Returns `holds`.
+    /// Reports a violation if `holds` is `false`, described by `detail`, which is called only then. Returns `holds`.
     pub fn check<D: Display>(
         &self,
         invariant: Invariant,
@@ -47,26 +47,26 @@
         detail: impl FnOnce() -> D,
     ) -> bool {
         if !holds {
-            self.broken(invariant, &detail().to_string());
+            self.report(invariant, &detail().to_string());
         }
         holds
     }
 
-    /// Asserts that a value which may only rise does.
+    /// Asserts that `new` is greater than `old`. Returns whether it is.
     pub fn rises<T: PartialOrd + Display>(&self, invariant: Invariant, old: &T, new: &T) -> bool {
         self.check(invariant, new > old, || format!("old={old} new={new}"))
     }
 
-    /// Returns how often an invariant was broken.
+    /// Returns the number of violations of `invariant`.
     #[must_use]
     pub fn count(&self, invariant: Invariant) -> u64 {
-        self.broken.with_label_values(&[invariant.name()]).get()
+        self.violations.with_label_values(&[invariant.name()]).get()
     }
 
-    fn broken(&self, invariant: Invariant, detail: &str) {
-        self.broken.with_label_values(&[invariant.name()]).inc();
+    fn report(&self, invariant: Invariant, detail: &str) {
+        self.violations.with_label_values(&[invariant.name()]).inc();
         log::error!(invariant = invariant.name(), detail = detail; "invariant_broken");
-        if self.aborts {
+        if self.abort_on_violation {
             std::process::abort();
         }
     }
--- a/crates/chicoryrail-runtime/src/json.rs
+++ b/crates/chicoryrail-runtime/src/json.rs
@@ -1,4 +1,4 @@
-//! JSON answers of listeners.
+//! JSON responses of listeners.
 
 use bytes::Bytes;
 use http::HeaderValue;
@@ -15,27 +15,27 @@
     error: &'a str,
 }
 
-/// Builds a JSON answer.
+/// Builds a JSON response. A value that can't be serialized gives status 500 and an empty object.
 #[must_use]
 pub fn json_answer<T: Serialize>(status: u16, value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
-        Ok(bytes) => answer(status, bytes.into()),
-        Err(_) => answer(500, Bytes::from_static(b"{}")),
+        Ok(bytes) => response(status, bytes.into()),
+        Err(_) => response(500, Bytes::from_static(b"{}")),
     }
 }
 
-/// Builds the JSON answer to a call that can't be obeyed; `message` names the field and the value.
+/// Builds the JSON response to an invalid call. `message` names the offending field and its value.
 #[must_use]
 pub fn error_answer(status: u16, message: &str) -> Response<Body> {
     json_answer(status, &ErrorBody { error: message })
 }
 
-fn answer(status: u16, bytes: Bytes) -> Response<Body> {
-    let mut answer = Response::new(full(bytes));
-    *answer.status_mut() =
+fn response(status: u16, bytes: Bytes) -> Response<Body> {
+    let mut response = Response::new(full(bytes));
+    *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    answer
+    response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+    response
 }
--- a/crates/chicoryrail-runtime/src/lib.rs
+++ b/crates/chicoryrail-runtime/src/lib.rs
@@ -1,7 +1,7 @@
-//! What every chicoryrail process needs to run, and no decision of its own.
+//! Runtime support for every chicoryrail process; it contains no routing policy.
 //!
-//! Start-up on monoio's `LegacyDriver`, one clock, cancellation, HTTP for callers and
-//! servers, metrics, the bounded log and the parsing of settings.
+//! The crate provides start-up on monoio's `LegacyDriver`, the monotonic clock, cancellation, an HTTP server and
+//! client, metrics, the bounded log and the parsing of settings.
 //!
 //! # Example
 //!
@@ -16,21 +16,21 @@
 //! assert!(seen >= chicoryrail_core::Millis(2));
 //! ```
 //!
-//! Go on with [`Process`] for readiness and metrics, [`serve_http`] for a listener, and [`block_on`]
-//! with [`stop_on_signal`] for start and stop.
+//! See [`Process`] for readiness and metrics, [`serve_http`] for a listener, and [`block_on`] with
+//! [`stop_on_signal`] for the start and stop of a process.
 
 mod bind;
 mod body;
 mod callers;
 mod clock;
-mod end_to_end;
+mod connect;
+mod hop_by_hop;
 mod http_client;
 mod invariant;
 mod invariants;
 mod json;
 mod log_sink;
 mod metrics;
-mod outgoing;
 mod process;
 mod request_body;
 mod server_pool;
@@ -50,7 +50,7 @@
 pub use callers::serve_http;
 pub use callers::serve_http_shared;
 pub use clock::Clock;
-pub use end_to_end::end_to_end;
+pub use hop_by_hop::end_to_end;
 pub use http_client::AnswerWait;
 pub use http_client::HttpClient;
 pub use http_client::HttpError;
--- a/crates/chicoryrail-runtime/src/log_sink.rs
+++ b/crates/chicoryrail-runtime/src/log_sink.rs
@@ -1,4 +1,4 @@
-//! Where log lines go: bounded, and never waiting for whoever reads them.
+//! Bounded log output that never blocks on its reader.
 
 use std::io;
 use std::os::fd::AsFd;
@@ -14,22 +14,21 @@
 use nix::poll::poll;
 use nix::unistd::write;
 
-/// Bytes that wait for a slow reader; what comes on top is left out and counted.
-const WAITING_MOST: usize = 256 << 10;
+/// Bytes buffered for a slow reader. Further lines are dropped and counted.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Bytes of one write. A pipe that says it can be written to takes this much without blocking
-/// (`PIPE_BUF` on Linux).
-const CHUNK: usize = 4_096;
+/// Bytes of one write. A pipe that polls as writable accepts this many without blocking (`PIPE_BUF` on Linux).
+const CHUNK_BYTES: usize = 4_096;
 
-/// Part of the rate, in percent, that lines of single requests may use. The rest is for changes of belief, of
-/// which a host has some tens in the busiest seconds.
-const REQUEST_PART: u64 = 60;
+/// Share of the rate, in percent, that lines of single requests may use. The rest is reserved for view changes, of
+/// which a host logs some tens in the busiest seconds.
+const REQUEST_SHARE_PERCENT: u64 = 60;
 
-/// Collects log lines and writes them where that does not block.
+/// Buffers log lines and writes them without blocking. Clones share the buffer.
 ///
-/// A process that blocks on its log stops serving when the log's reader stalls. So lines are kept in
-/// memory up to a bound and written in chunks that the pipe is known to take; lines above the rate or the
-/// bound are left out, and a line says how many.
+/// A process that blocks on its log stops serving when the log's reader stalls. So lines are buffered in memory up
+/// to a limit and written in chunks that a writable pipe accepts. Lines above the rate or the limit are dropped,
+/// and a log line reports their number.
 #[derive(Clone, Debug)]
 pub struct LogSink {
     state: Arc<Mutex<State>>,
@@ -37,83 +36,92 @@
 
 #[derive(Debug)]
 struct State {
-    waiting: Vec<u8>,
+    buffer: Vec<u8>,
     rate: u32,
-    second: Instant,
+    second_start: Instant,
     lines: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
 impl LogSink {
-    /// Builds a sink that takes at most `rate` lines a second.
+    /// Returns a sink that accepts at most `rate` lines per second.
     #[must_use]
     pub fn new(rate: u32) -> Self {
         let state = State {
-            waiting: Vec::with_capacity(CHUNK * 2),
+            buffer: Vec::with_capacity(CHUNK_BYTES * 2),
             rate,
-            second: Instant::now(),
+            second_start: Instant::now(),
             lines: 0,
-            left_out: 0,
+            dropped: 0,
         };
         Self {
             state: Arc::new(Mutex::new(state)),
         }
     }
 
-    /// Writes what standard output takes without blocking.
+    /// Writes as much of the buffer to standard output as possible without blocking.
     pub fn flush(&self) {
         self.flush_to(&io::stdout());
     }
 
-    /// Takes in one line, or leaves it out. Lines of single requests, of which a storm has thousands, leave
-    /// a part of the rate to the others.
+    /// Buffers one line, or drops it above the rate or the buffer's limit.
+    ///
+    /// Lines of single requests (`of_request`) may use only a share of the rate, so that thousands of failing
+    /// requests don't displace the other lines.
     pub fn line(&self, line: &[u8], of_request: bool) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.turn();
-        let part = if of_request { REQUEST_PART } else { 100 };
-        let most = u64::from(state.rate) * part / 100;
-        if u64::from(state.lines) >= most || state.waiting.len() + line.len() > WAITING_MOST {
-            state.left_out += 1;
+        state.start_second();
+        let share_percent = if of_request {
+            REQUEST_SHARE_PERCENT
+        } else {
+            100
+        };
+        let max_lines = u64::from(state.rate) * share_percent / 100;
+        if u64::from(state.lines) >= max_lines
+            || state.buffer.len() + line.len() > MAX_BUFFERED_BYTES
+        {
+            state.dropped += 1;
             return;
         }
         state.lines += 1;
-        state.waiting.extend_from_slice(line);
+        state.buffer.extend_from_slice(line);
     }
 
-    /// Writes what `out` takes without blocking, past any buffer of its own: that would split chunks, and
-    /// a part could block.
+    /// Writes as much of the buffer to `out` as possible without blocking.
+    ///
+    /// It bypasses any userspace buffer of `out`, which would split the chunks, so that a partial write could block.
     pub fn flush_to(&self, out: &impl AsFd) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.turn();
-        let mut done = 0;
-        while done < state.waiting.len() && takes_more(out) {
-            let end = (done + CHUNK).min(state.waiting.len());
-            match write(out, &state.waiting[done..end]) {
+        state.start_second();
+        let mut written = 0;
+        while written < state.buffer.len() && is_writable(out) {
+            let end = (written + CHUNK_BYTES).min(state.buffer.len());
+            match write(out, &state.buffer[written..end]) {
                 Ok(0) | Err(_) => break,
-                Ok(n) => done += n,
+                Ok(n) => written += n,
             }
         }
-        state.waiting.drain(..done);
+        state.buffer.drain(..written);
     }
 }
 
 impl State {
-    /// Begins a new second, with a line on what the last one left out.
-    fn turn(&mut self) {
-        if self.second.elapsed() < Duration::from_secs(1) {
+    /// Starts a new second if the current one has ended, and buffers a line on the lines dropped before.
+    fn start_second(&mut self) {
+        if self.second_start.elapsed() < Duration::from_secs(1) {
             return;
         }
-        self.second = Instant::now();
+        self.second_start = Instant::now();
         self.lines = 0;
-        if self.left_out > 0 && self.waiting.len() < WAITING_MOST {
-            let line = format!("log=left_out lines={}\n", self.left_out);
-            self.waiting.extend_from_slice(line.as_bytes());
-            self.left_out = 0;
+        if self.dropped > 0 && self.buffer.len() < MAX_BUFFERED_BYTES {
+            let line = format!("log=left_out lines={}\n", self.dropped);
+            self.buffer.extend_from_slice(line.as_bytes());
+            self.dropped = 0;
         }
     }
 }
 
-fn takes_more(out: &impl AsFd) -> bool {
+fn is_writable(out: &impl AsFd) -> bool {
     let mut fds = [PollFd::new(out.as_fd(), PollFlags::POLLOUT)];
     let ready = poll(&mut fds, PollTimeout::ZERO);
     let flags = fds[0].revents().unwrap_or(PollFlags::empty());
--- a/crates/chicoryrail-runtime/src/metrics.rs
+++ b/crates/chicoryrail-runtime/src/metrics.rs
@@ -11,15 +11,15 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// Bounds of the buckets of all histograms of seconds.
-const SECONDS: [f64; 13] = [
+/// Upper bounds of the buckets of all latency histograms, in seconds.
+const BUCKETS_SECONDS: [f64; 13] = [
     0.0001, 0.0003, 0.001, 0.002, 0.004, 0.008, 0.016, 0.05, 0.1, 0.3, 1.0, 3.0, 10.0,
 ];
 
-/// A process's metrics, shown at `/metrics` in the Prometheus text format.
+/// Registry of a process's metrics, rendered in the Prometheus text format.
 ///
-/// Names carry the prefix `chicoryrail_` and the unit; a name registered twice is a fault of the
-/// program and panics at start-up.
+/// The registry adds the prefix `chicoryrail_` to all names. The name of a measured quantity ends with its unit, such
+/// as `_seconds`. Registering a name twice is a bug in the program and panics at start-up.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -34,7 +34,7 @@
 }
 
 impl Metrics {
-    /// Adds a counter.
+    /// Registers a counter.
     #[must_use]
     pub fn counter(&self, name: &str, help: &str) -> IntCounter {
         let counter = IntCounter::new(name, help).expect("metric names are constant and valid");
@@ -44,7 +44,7 @@
         counter
     }
 
-    /// Adds a family of counters, one for each combination of label values.
+    /// Registers a family of counters, one for each combination of label values.
     #[must_use]
     pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         let family = IntCounterVec::new(Opts::new(name, help), labels)
@@ -55,7 +55,7 @@
         family
     }
 
-    /// Adds a gauge.
+    /// Registers a gauge.
     #[must_use]
     pub fn gauge(&self, name: &str, help: &str) -> IntGauge {
         let gauge = IntGauge::new(name, help).expect("metric names are constant and valid");
@@ -65,10 +65,10 @@
         gauge
     }
 
-    /// Adds a histogram of seconds, from 100 µs to 10 s.
+    /// Registers a histogram of durations in seconds, with buckets from 100 µs to 10 s.
     #[must_use]
     pub fn seconds(&self, name: &str, help: &str) -> Histogram {
-        let opts = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+        let opts = HistogramOpts::new(name, help).buckets(BUCKETS_SECONDS.to_vec());
         let histogram = Histogram::with_opts(opts).expect("metric names are constant and valid");
         self.registry
             .register(Box::new(histogram.clone()))
@@ -76,10 +76,10 @@
         histogram
     }
 
-    /// Adds a family of histograms of seconds, one for each combination of label values.
+    /// Registers a family of histograms of durations in seconds, one for each combination of label values.
     #[must_use]
     pub fn seconds_by(&self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
-        let opts = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+        let opts = HistogramOpts::new(name, help).buckets(BUCKETS_SECONDS.to_vec());
         let family = HistogramVec::new(opts, labels).expect("metric names are constant and valid");
         self.registry
             .register(Box::new(family.clone()))
@@ -87,7 +87,7 @@
         family
     }
 
-    /// Renders all metrics as text.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
--- a/crates/chicoryrail-runtime/src/process.rs
+++ b/crates/chicoryrail-runtime/src/process.rs
@@ -1,4 +1,4 @@
-//! What every process of the system carries.
+//! State that every process has: clock, metrics, readiness and the stop token.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,24 +14,24 @@
 use crate::Metrics;
 use crate::full;
 
-/// The clock, metrics, readiness and stop token of one process; clones share them.
+/// Shared state of one process. Clones share its metrics, readiness and stop token.
 #[derive(Clone, Debug)]
 pub struct Process {
     /// Monotonic clock of the process.
     pub clock: Clock,
-    /// Metrics shown at `/metrics`.
+    /// Metrics served at `/metrics`.
     pub metrics: Metrics,
-    /// Assertions, counted in the metrics and logged.
+    /// Runtime assertions, counted in the metrics and logged.
     pub invariants: Invariants,
-    /// Cancelled when the process is told to stop.
+    /// Cancelled when the process has to stop.
     pub stop: CancellationToken,
-    /// Random number of this run.
+    /// Random identifier of this run of the process, never 0.
     pub instance: u64,
     ready: Rc<Cell<bool>>,
 }
 
 impl Process {
-    /// Builds the parts.
+    /// Returns a process that is not ready, with its clock at zero.
     #[must_use]
     pub fn new() -> Self {
         let metrics = Metrics::default();
@@ -45,27 +45,27 @@
         }
     }
 
-    /// Says whether the process can do its job now.
+    /// Sets whether the process can do its work.
     pub fn set_ready(&self, ready: bool) {
         self.ready.set(ready);
     }
 
-    /// Tells whether the process can do its job and is not about to stop.
+    /// Returns `true` if the process can do its work and is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready.get() && !self.stop.is_cancelled()
     }
 
-    /// Answers `/-/readyz`, which the balancer asks, and `/metrics`; `None` for other paths.
+    /// Responds to `/-/readyz`, which the load balancer probes, and `/metrics`. Returns `None` for other paths.
     #[must_use]
     pub fn observe<B>(&self, request: &Request<B>) -> Option<Response<Body>> {
         match request.uri().path() {
             "/-/readyz" => {
-                let mut answer = Response::new(full(""));
+                let mut response = Response::new(full(""));
                 if !self.is_ready() {
-                    *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+                    *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
                 }
-                Some(answer)
+                Some(response)
             }
             "/metrics" => Some(Response::new(full(self.metrics.render()))),
             _ => None,
--- a/crates/chicoryrail-runtime/src/request_body.rs
+++ b/crates/chicoryrail-runtime/src/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a caller's request.
+//! The body of a caller's request, buffered in part for retries.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,56 +18,56 @@
 use crate::Body;
 use crate::empty;
 
-/// Bytes at a body's start that are kept for a second send. They are also waited for before a slot
-/// is taken, so that a caller that sends slowly does not hold a slot of a server for it.
-const KEPT: usize = 16 << 10;
+/// Bytes at the start of a body that are buffered for a retry. They are also read before the request takes a slot of
+/// a server, so that a caller that sends slowly does not occupy one meanwhile.
+const REPLAY_BYTES: usize = 16 << 10;
 
-/// What is wrong with a caller's body.
+/// Why a caller's body can't be read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFault {
-    /// It is longer than the limit.
+    /// The body is longer than the limit.
     TooLarge,
-    /// It came too slowly.
+    /// The start of the body was not received in time.
     Slow,
-    /// It was cut.
+    /// The body ended early.
     Cut,
 }
 
-/// A request's body: its start is kept, the rest is streamed once.
+/// A request's body. Its start is buffered and can be sent again; the rest is streamed once.
 pub struct RequestBody {
     inner: RefCell<Option<Body>>,
-    kept: RefCell<Vec<Bytes>>,
-    size: Cell<usize>,
-    read: Cell<u64>,
-    limit: u64,
-    /// Whether bytes have passed that are no longer kept.
+    buffered: RefCell<Vec<Bytes>>,
+    buffered_bytes: Cell<usize>,
+    received_bytes: Cell<u64>,
+    max_bytes: u64,
+    /// Whether bytes were sent that are not buffered.
     streamed: Cell<bool>,
     fault: Cell<Option<BodyFault>>,
 }
 
 impl RequestBody {
-    /// Wraps a body of at most `limit` bytes.
+    /// Wraps a body of at most `max_bytes` bytes.
     #[must_use]
-    pub fn new(body: Body, limit: u64) -> Rc<Self> {
-        let none = body.is_end_stream();
-        // A length that the caller told is refused before a byte is read.
-        let too_large = body.size_hint().lower() > limit;
+    pub fn new(body: Body, max_bytes: u64) -> Rc<Self> {
+        let ended = body.is_end_stream();
+        // A declared length above the limit is refused before any byte is read.
+        let too_large = body.size_hint().lower() > max_bytes;
         Rc::new(Self {
-            inner: RefCell::new((!none).then_some(body)),
-            kept: RefCell::default(),
-            size: Cell::default(),
-            read: Cell::default(),
-            limit,
+            inner: RefCell::new((!ended).then_some(body)),
+            buffered: RefCell::default(),
+            buffered_bytes: Cell::default(),
+            received_bytes: Cell::default(),
+            max_bytes,
             streamed: Cell::default(),
             fault: Cell::new(too_large.then_some(BodyFault::TooLarge)),
         })
     }
 
-    /// Reads the start of the body.
+    /// Reads the start of the body into the buffer, for at most `limit`.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the body; nothing was sent.
+    /// Returns a [`BodyFault`] if the body is too long, too slow or cut; nothing was sent.
     pub async fn prefetch(&self, limit: Millis) -> Result<(), BodyFault> {
         if let Some(fault) = self.fault.get() {
             return Err(fault);
@@ -75,56 +75,57 @@
         if self.inner.borrow().is_none() {
             return Ok(());
         }
-        let start = async {
-            while self.size.get() < KEPT {
-                match poll_fn(|cx| self.poll_more(cx)).await {
-                    Some(Ok(data)) => self.keep(data),
+        let read_start = async {
+            while self.buffered_bytes.get() < REPLAY_BYTES {
+                match poll_fn(|cx| self.poll_chunk(cx)).await {
+                    Some(Ok(data)) => self.buffer(data),
                     Some(Err(_)) => return Err(self.fault.get().unwrap_or(BodyFault::Cut)),
                     None => break,
                 }
             }
             Ok(())
         };
-        timeout(limit.duration(), start)
+        timeout(limit.duration(), read_start)
             .await
             .unwrap_or(Err(BodyFault::Slow))
     }
 
-    /// Tells whether the body can be sent from its start.
+    /// Returns `true` if the body can still be sent from its start.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         !self.streamed.get()
     }
 
-    /// Tells whether there is no body.
+    /// Returns `true` if there is no body.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.inner.borrow().is_none() && self.size.get() == 0
+        self.inner.borrow().is_none() && self.buffered_bytes.get() == 0
     }
 
-    /// Returns what was wrong with the body, where it ended early.
+    /// Returns why the body could not be read completely, if so.
     #[must_use]
     pub fn fault(&self) -> Option<BodyFault> {
         self.fault.get()
     }
 
-    /// Returns the body for one send.
+    /// Returns the body for one attempt to send the request.
     pub fn body(self: &Rc<Self>) -> Body {
         if self.is_empty() {
             return empty();
         }
-        Box::pin(Sending {
+        Box::pin(SendAttempt {
             source: Rc::clone(self),
-            next: 0,
+            next_chunk: 0,
         })
     }
 
-    fn keep(&self, data: Bytes) {
-        self.size.set(self.size.get() + data.len());
-        self.kept.borrow_mut().push(data);
+    fn buffer(&self, data: Bytes) {
+        self.buffered_bytes
+            .set(self.buffered_bytes.get() + data.len());
+        self.buffered.borrow_mut().push(data);
     }
 
-    fn poll_more(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+    fn poll_chunk(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         let mut inner = self.inner.borrow_mut();
         loop {
             let Some(body) = inner.as_mut() else {
@@ -145,11 +146,12 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    self.read.set(self.read.get() + data.len() as u64);
-                    if self.read.get() > self.limit {
+                    self.received_bytes
+                        .set(self.received_bytes.get() + data.len() as u64);
+                    if self.received_bytes.get() > self.max_bytes {
                         self.fault.set(Some(BodyFault::TooLarge));
                         *inner = None;
-                        return Poll::Ready(Some(Err(io::Error::other("body is too long"))));
+                        return Poll::Ready(Some(Err(io::Error::other("body exceeds the limit"))));
                     }
                     return Poll::Ready(Some(Ok(data)));
                 }
@@ -158,13 +160,13 @@
     }
 }
 
-/// One send of a body.
-struct Sending {
+/// The body of one send attempt: the buffered start, then the stream.
+struct SendAttempt {
     source: Rc<RequestBody>,
-    next: usize,
+    next_chunk: usize,
 }
 
-impl HttpBody for Sending {
+impl HttpBody for SendAttempt {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -172,12 +174,12 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        let kept = self.source.kept.borrow().get(self.next).cloned();
-        if let Some(data) = kept {
-            self.next += 1;
+        let chunk = self.source.buffered.borrow().get(self.next_chunk).cloned();
+        if let Some(data) = chunk {
+            self.next_chunk += 1;
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
-        match self.source.poll_more(cx) {
+        match self.source.poll_chunk(cx) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(None) => Poll::Ready(None),
             Poll::Ready(Some(Err(e))) => Poll::Ready(Some(Err(e))),
@@ -189,7 +191,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.next >= self.source.kept.borrow().len()
+        self.next_chunk >= self.source.buffered.borrow().len()
             && self.source.inner.borrow().is_none()
             && self.source.fault.get().is_none()
     }
--- a/crates/chicoryrail-runtime/src/server_pool.rs
+++ b/crates/chicoryrail-runtime/src/server_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one server.
+//! Pool of HTTP connections to one server.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -15,58 +15,61 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::Body;
-use crate::outgoing::connect;
+use crate::connect::connect;
 
-/// Connections kept above the slots. A connection that was given up still counts until its end, and
-/// its successor must not wait for that.
-const SPARE: u32 = 4;
+/// Connections allowed above the number of slots. An abandoned connection counts until its task has ended, and the
+/// connection that replaces it must not wait for that.
+const SPARE_CONNECTIONS: u32 = 4;
 
-/// Bytes of an answer that are read ahead of its caller. The HTTP layer's own bound is 400 KB: with 200 callers that
-/// read nothing of 540 KB the process grew by 20.1 MB under it, and by 12.9 MB under this one.
-const READ_AHEAD: usize = 64 << 10;
+/// Largest read buffer, which is how far a response is read ahead of its caller. With hyper's default of 400 KB,
+/// 200 callers that read nothing of a 540 KB response grew the process by 20.1 MB; with 64 KiB, by 12.9 MB.
+const MAX_READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Longest time a connect may take. Servers are about 1 ms away; a longer wait means that nobody is
-/// there, and the request must have time left for another server.
-const CONNECT_LIMIT: Millis = Millis(300);
+/// Longest time for opening a connection. Servers are about 1 ms away, so a longer wait means that the server is
+/// unreachable, and the request needs the remaining time for another server.
+const CONNECT_TIMEOUT: Millis = Millis(300);
 
-/// Idle and open connections of one server.
+/// Idle connections to one server, with a limit on all its open connections.
 #[derive(Debug, Default)]
 pub struct ServerPool {
     idle: RefCell<Vec<ServerConn>>,
     open: Rc<Cell<u32>>,
-    cap: Cell<u32>,
+    max_open: Cell<u32>,
 }
 
-/// A connection that carries at most one request at a time; dropping it closes it.
+/// A connection that carries at most one request at a time. Dropping it resets the connection.
 #[derive(Debug)]
 pub struct ServerConn {
-    /// Sends one request at a time.
+    /// Sends requests on the connection.
     pub send: SendRequest<Body>,
     closed: CancellationToken,
 }
 
 impl ServerPool {
-    /// Sets the limit from the server's slots and the service's connections.
+    /// Limits the open connections to the server's slots plus a reserve, at most the service's `connections`.
+    ///
+    /// The limit is at least 1.
     pub fn set_cap(&self, slots: u32, connections: u32) {
-        self.cap.set(connections.min(slots + SPARE).max(1));
+        self.max_open
+            .set(connections.min(slots + SPARE_CONNECTIONS).max(1));
     }
 
-    /// Returns the number of open connections.
+    /// Returns the number of open connections, idle or in use.
     #[must_use]
     pub fn open(&self) -> u32 {
         self.open.get()
     }
 
-    /// Closes the idle connections.
+    /// Closes all idle connections.
     pub fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Takes an idle connection, or opens one.
+    /// Returns an idle connection, or opens one.
     ///
     /// # Errors
     ///
-    /// Returns the reason where none can be had; nothing was sent.
+    /// Returns the reason if no connection is available; nothing was sent.
     pub async fn take(&self, addr: SocketAddr) -> io::Result<ServerConn> {
         loop {
             let Some(mut conn) = self.idle.borrow_mut().pop() else {
@@ -79,36 +82,36 @@
         self.connect(addr).await
     }
 
-    /// Gives a connection back after a whole answer.
+    /// Returns a connection to the pool after a complete response, or closes it if the pool is full.
     pub fn put(&self, conn: ServerConn) {
-        if !conn.send.is_closed() && (self.idle.borrow().len() as u32) < self.cap.get() {
+        if !conn.send.is_closed() && (self.idle.borrow().len() as u32) < self.max_open.get() {
             self.idle.borrow_mut().push(conn);
         }
     }
 
-    /// Opens a connection where the limit allows it.
+    /// Opens a connection if the limit allows it.
     ///
     /// # Errors
     ///
-    /// Returns why there is none; nothing was sent.
+    /// Returns the reason if none can be opened; nothing was sent.
     pub async fn connect(&self, addr: SocketAddr) -> io::Result<ServerConn> {
-        if self.open.get() >= self.cap.get() {
-            return Err(io::Error::other("the server's connections are in use"));
+        if self.open.get() >= self.max_open.get() {
+            return Err(io::Error::other("connection limit of the server reached"));
         }
-        let open = Open::new(&self.open);
-        timeout(CONNECT_LIMIT.duration(), ServerConn::open(addr, open))
+        let guard = OpenGuard::new(&self.open);
+        timeout(CONNECT_TIMEOUT.duration(), ServerConn::open(addr, guard))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
 }
 
 impl ServerConn {
-    /// Opens a connection; `held` is dropped when it has ended.
-    pub(crate) async fn open<T: 'static>(addr: SocketAddr, held: T) -> io::Result<Self> {
+    /// Opens a connection. `guard` is dropped when the connection has ended.
+    pub(crate) async fn open<T: 'static>(addr: SocketAddr, guard: T) -> io::Result<Self> {
         let stream = connect(addr).await?;
         let io = stream.try_into_poll_io().map_err(|(e, _)| e)?;
         let (send, connection) = http1::Builder::new()
-            .max_buf_size(READ_AHEAD)
+            .max_buf_size(MAX_READ_BUFFER_BYTES)
             .handshake(MonoioIo::new(io))
             .await
             .map_err(io::Error::other)?;
@@ -116,10 +119,10 @@
         let stop = closed.clone();
         monoio::spawn(async move {
             let stopped = std::pin::pin!(stop.cancelled());
-            // Dropped here, the connection is reset. Left to itself it would first write to its end a
-            // request that was given up.
+            // Dropping the connection here resets it. Otherwise hyper would first finish writing an abandoned
+            // request.
             select(connection, stopped).await;
-            drop(held);
+            drop(guard);
         });
         Ok(Self { send, closed })
     }
@@ -131,18 +134,18 @@
     }
 }
 
-/// Counts an open connection until its task has ended.
+/// Guard that counts an open connection until the connection's task has ended.
 #[derive(Debug)]
-struct Open(Rc<Cell<u32>>);
+struct OpenGuard(Rc<Cell<u32>>);
 
-impl Open {
+impl OpenGuard {
     fn new(count: &Rc<Cell<u32>>) -> Self {
         count.set(count.get() + 1);
         Self(Rc::clone(count))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/chicoryrail-runtime/src/settings.rs
+++ b/crates/chicoryrail-runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that every process of a host has.
+//! Parsers for command line flags and environment variables.
 
 use std::fmt::Display;
 use std::process::ExitCode;
@@ -10,40 +10,39 @@
 use bpaf::long;
 use snafu::Snafu;
 
-use crate::start::BAD_SETTING;
+use crate::start::EXIT_BAD_SETTING;
 
-/// A flag or environment variable with an unusable value.
+/// A flag or environment variable with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("--{flag} = {value}: {reason}"))]
 pub struct SettingError {
-    /// Flag without its dashes.
+    /// Name of the flag, without its dashes.
     pub flag: &'static str,
-    /// Value found.
+    /// Invalid value.
     pub value: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: String,
 }
 
-/// Parses the process's own arguments, or prints help or what is wrong with them.
+/// Parses the arguments of this process. Prints the help text or the error if there is no result.
 ///
 /// # Errors
 ///
-/// Returns the code with which the process is to end: 0 after help, 2 after a bad flag or variable.
+/// Returns the exit code of the process: 0 after the help text, 2 after an invalid flag or variable.
 pub fn from_args<T>(parser: &OptionParser<T>) -> Result<T, ExitCode> {
     parser.run_inner(Args::current_args()).map_err(|failure| {
         failure.print_message(100);
         ExitCode::from(if failure.exit_code() == 0 {
             0
         } else {
-            BAD_SETTING
+            EXIT_BAD_SETTING
         })
     })
 }
 
-/// Parses one setting from its flag or, where that is missing, its environment variable.
+/// Returns a parser of one setting, read from its flag or, without the flag, from its environment variable.
 ///
-/// An unusable value is reported with the flag and the value, which the command line library does
-/// not do by itself.
+/// The error for an invalid value names the flag and the value, which bpaf's own error does not.
 #[must_use]
 pub fn setting<T>(
     flag: &'static str,
@@ -65,9 +64,9 @@
         })
 }
 
-/// Parses a switch that stands as a flag, or is `1` or `true` in the environment variable.
+/// Returns a parser of a switch, set by its flag or by `1` or `true` in its environment variable.
 ///
-/// The command line library alone takes any value of the variable for yes, `0` and `false` too.
+/// bpaf alone treats any value of the variable as set, including `0` and `false`.
 #[must_use]
 pub fn switch_setting(
     flag: &'static str,
--- a/crates/chicoryrail-runtime/src/signal.rs
+++ b/crates/chicoryrail-runtime/src/signal.rs
@@ -1,4 +1,4 @@
-//! Wakes tasks that wait for a change.
+//! Notifies tasks of a change.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -6,10 +6,10 @@
 use std::task::Poll;
 use std::task::Waker;
 
-/// A change that any number of tasks wait for.
+/// A change notification that any number of tasks can wait for.
 ///
-/// A waiter takes the count first and checks its condition after, so that a change in between wakes
-/// it at once.
+/// A task reads [`Signal::count`] before it checks its condition and then waits with [`Signal::after`]. A change
+/// between the check and the wait then wakes the task immediately.
 #[derive(Debug, Default)]
 pub struct Signal {
     count: Cell<u64>,
@@ -17,13 +17,13 @@
 }
 
 impl Signal {
-    /// Returns the number of changes so far.
+    /// Returns the number of notifications so far.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.count.get()
     }
 
-    /// Says that something changed and wakes all waiters.
+    /// Counts a change and wakes all waiting tasks.
     pub fn notify(&self) {
         self.count.set(self.count.get() + 1);
         for waker in self.wakers.take() {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Waits until there were more than `seen` changes.
+    /// Waits until the count exceeds `seen`.
     pub async fn after(&self, seen: u64) {
         poll_fn(|cx| {
             if self.count.get() > seen {
--- a/crates/chicoryrail-runtime/src/start.rs
+++ b/crates/chicoryrail-runtime/src/start.rs
@@ -1,4 +1,4 @@
-//! Start and stop of a process.
+//! Starts the runtime and handles the signals of a process.
 
 use std::io;
 use std::os::unix::net::UnixStream as StdUnixStream;
@@ -13,80 +13,80 @@
 use signal_hook::consts::SIGTERM;
 use tokio_util::sync::CancellationToken;
 
-/// Runs `main` on this thread on monoio's poll-based driver.
+/// Runs `main` to completion on this thread, on monoio's poll-based driver.
 ///
-/// The driver is named here and the `iouring` feature is not compiled in, so that no process can
-/// fall to io_uring, which the hosts forbid.
+/// The driver is selected explicitly and the `iouring` feature is not compiled in, so that no process can
+/// use io_uring, which the hosts forbid.
 ///
 /// # Panics
 ///
-/// Panics where the system gives no epoll instance; nothing can run then.
+/// Panics if the system can't create an epoll instance; nothing can run without one.
 pub fn block_on<F: Future>(main: F) -> F::Output {
     RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
         .build()
-        .expect("the system gives an epoll instance")
+        .expect("epoll instance can be created")
         .block_on(main)
 }
 
-/// Sends the log to standard error, at the level of `CHICORYRAIL_LOG` (default `warn`).
+/// Installs a logger that writes to standard error, filtered by `CHICORYRAIL_LOG` (default `warn`).
 pub fn init_logs() {
     let env = env_logger::Env::new().filter_or("CHICORYRAIL_LOG", "warn");
     let _ = env_logger::Builder::from_env(env).try_init();
 }
 
-/// Cancels `stop` at SIGTERM or SIGINT.
+/// Cancels `stop` on SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Returns the system's error where the signals can't be caught.
+/// Returns the system's error if the signal handlers can't be installed.
 pub fn stop_on_signal(stop: CancellationToken) -> io::Result<()> {
-    let (ours, theirs) = StdUnixStream::pair()?;
-    signal_hook::low_level::pipe::register(SIGTERM, theirs.try_clone()?)?;
-    signal_hook::low_level::pipe::register(SIGINT, theirs)?;
-    ours.set_nonblocking(true)?;
-    let mut ours = UnixStream::from_std(ours)?;
+    let (reader, writer) = StdUnixStream::pair()?;
+    signal_hook::low_level::pipe::register(SIGTERM, writer.try_clone()?)?;
+    signal_hook::low_level::pipe::register(SIGINT, writer)?;
+    reader.set_nonblocking(true)?;
+    let mut reader = UnixStream::from_std(reader)?;
     monoio::spawn(async move {
-        let _ = ours.read(vec![0_u8; 1]).await;
+        let _ = reader.read(vec![0_u8; 1]).await;
         stop.cancel();
     });
     Ok(())
 }
 
-/// Requests to read the settings again: SIGHUP.
+/// Stream of requests to reload the settings, sent as SIGHUP.
 #[derive(Debug)]
 pub struct ReloadSignals {
     pipe: UnixStream,
 }
 
 impl ReloadSignals {
-    /// Waits for the next request; tells whether there may be more.
+    /// Waits for the next request. Returns `false` if no more can follow.
     pub async fn next(&mut self) -> bool {
-        // Several signals in a row are one request: the file is read after the last of them.
+        // Coalesces signals that arrived together: the reload happens after the last of them.
         let (read, _) = self.pipe.read(vec![0_u8; 64]).await;
         read.is_ok_and(|n| n > 0)
     }
 }
 
-/// Catches SIGHUP, which would end the process.
+/// Installs a handler for SIGHUP, whose default action ends the process.
 ///
 /// # Errors
 ///
-/// Returns the system's error where the signal can't be caught.
+/// Returns the system's error if the signal handler can't be installed.
 pub fn reload_signals() -> io::Result<ReloadSignals> {
-    let (ours, theirs) = StdUnixStream::pair()?;
-    signal_hook::low_level::pipe::register(SIGHUP, theirs)?;
-    ours.set_nonblocking(true)?;
-    let pipe = UnixStream::from_std(ours)?;
+    let (reader, writer) = StdUnixStream::pair()?;
+    signal_hook::low_level::pipe::register(SIGHUP, writer)?;
+    reader.set_nonblocking(true)?;
+    let pipe = UnixStream::from_std(reader)?;
     Ok(ReloadSignals { pipe })
 }
 
-/// Exit code of a process that got a bad flag, environment variable or file.
-pub(crate) const BAD_SETTING: u8 = 2;
+/// Exit code after an invalid flag, environment variable or file.
+pub(crate) const EXIT_BAD_SETTING: u8 = 2;
 
-/// Prints why a process can't start and returns the exit code for it.
+/// Prints the reason of a failed start to standard error and returns the exit code 2.
 #[must_use]
 pub fn exit_with(message: &str) -> ExitCode {
     eprintln!("error: {message}");
-    ExitCode::from(BAD_SETTING)
+    ExitCode::from(EXIT_BAD_SETTING)
 }
--- a/crates/chicoryrail-runtime/tests/head_scanner.rs
+++ b/crates/chicoryrail-runtime/tests/head_scanner.rs
@@ -1,4 +1,4 @@
-//! Heads of requests found in a caller's bytes, however the bytes are split.
+//! Tests that the scanner finds request heads however the bytes are split.
 
 use chicoryrail_runtime::HeadScanner;
 use chicoryrail_runtime::ScannedHead;
@@ -11,46 +11,46 @@
     std::iter::from_fn(|| scanner.next_head()).collect()
 }
 
-/// Returns the paths of the heads found, those that are not plain with a mark.
+/// Returns the paths of the heads found. Those that are not pipelinable end with `!`.
 fn found(text: &str) -> Vec<String> {
     let mut scanner = HeadScanner::new(LIMIT);
     scanner.feed(text.as_bytes());
     let name = |head: ScannedHead| {
         let path = head.request().unwrap().uri().path().to_owned();
-        if head.plain { path } else { path + "!" }
+        if head.pipelinable { path } else { path + "!" }
     };
     heads(&mut scanner).into_iter().map(name).collect()
 }
 
-/// What a head says of its request decides whether anything behind it is found at all.
+/// Guards against a wrong message length: the scanner would take bytes of a body for the next head.
 #[rstest]
 #[case::plain("x: y", "", &["/a", "/b"])]
 #[case::no_body("content-length: 0", "", &["/a", "/b"])]
-#[case::kept("connection: keep-alive", "", &["/a", "/b"])]
+#[case::keep_alive("connection: keep-alive", "", &["/a", "/b"])]
 #[case::body("content-length: 4", "GET ", &["/a!", "/b"])]
 #[case::body_like_a_head("content-length: 18", "GET /c HTTP/1.1\r\n\r", &["/a!", "/b"])]
-#[case::chunks("transfer-encoding: chunked", "0\r\n\r\n", &["/a!"])]
+#[case::chunked("transfer-encoding: chunked", "0\r\n\r\n", &["/a!"])]
 #[case::two_lengths("content-length: 1\r\ncontent-length: 2", "xx", &["/a!"])]
 #[case::signed_length("content-length: +1", "x", &["/a!"])]
 #[case::closes("connection: close", "", &["/a!"])]
 #[case::upgrades("connection: upgrade\r\nupgrade: x", "", &["/a!"])]
-#[case::waits_for_leave("expect: 100-continue", "", &["/a!"])]
+#[case::expect_continue("expect: 100-continue", "", &["/a!"])]
 fn a_head_says_what_follows_it(#[case] header: &str, #[case] body: &str, #[case] paths: &[&str]) {
     let text = format!("GET /a HTTP/1.1\r\n{header}\r\n\r\n{body}GET /b HTTP/1.1\r\nh: i\r\n\r\n");
     assert_eq!(found(&text), paths);
 }
 
-/// What is no head, or too long a one, ends the search for good.
+/// An invalid or too long head stops the scanner for good, since the start of the next request is uncertain.
 #[rstest]
-#[case::no_head("nonsense\r\n\r\n".to_owned())]
+#[case::invalid("nonsense\r\n\r\n".to_owned())]
 #[case::older_version("GET /a HTTP/1.0\r\n\r\n".to_owned())]
-#[case::long(format!("GET /a HTTP/1.1\r\nx: {}\r\n", "y".repeat(LIMIT)))]
+#[case::too_long(format!("GET /a HTTP/1.1\r\nx: {}\r\n", "y".repeat(LIMIT)))]
 fn nothing_is_found_behind_what_is_no_head(#[case] start: String) {
     let text = format!("{start}GET /b HTTP/1.1\r\n\r\n");
     assert!(!found(&text).contains(&"/b".to_owned()), "{text}");
 }
 
-/// One request as a caller may send it.
+/// Generates a valid request and whether it is pipelinable.
 fn request() -> impl Strategy<Value = (String, bool)> {
     let body = prop_oneof![
         Just(None),
@@ -63,9 +63,9 @@
             None => (line + "\r\n", true),
             Some(body) => {
                 let text: String = body.iter().map(|b| char::from(b % 94 + 32)).collect();
-                let plain = text.is_empty();
+                let pipelinable = text.is_empty();
                 let head = format!("{line}content-length: {}\r\n\r\n{text}", text.len());
-                (head, plain)
+                (head, pipelinable)
             }
         }
     })
@@ -74,7 +74,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1_000))]
 
-    /// However the bytes are split, the same heads are found, one for each request and in their order.
+    /// The scanner finds one head for each request, in order, however the bytes are split.
     #[test]
     fn splits_change_nothing(
         requests in proptest::collection::vec(request(), 1..8),
@@ -88,12 +88,12 @@
         for pair in cuts.windows(2) {
             scanner.feed(&text.as_bytes()[pair[0]..pair[1]]);
         }
-        let plain: Vec<bool> = heads(&mut scanner).iter().map(|h| h.plain).collect();
-        let wanted: Vec<bool> = requests.iter().map(|(_, plain)| *plain).collect();
-        prop_assert_eq!(plain, wanted);
+        let pipelinable: Vec<bool> = heads(&mut scanner).iter().map(|h| h.pipelinable).collect();
+        let expected: Vec<bool> = requests.iter().map(|(_, pipelinable)| *pipelinable).collect();
+        prop_assert_eq!(pipelinable, expected);
     }
 
-    /// Any bytes at all, in any pieces: nothing panics, and what is found reads back or is given up.
+    /// Arbitrary bytes in arbitrary chunks cause no panic, neither in the scanner nor in parsing its heads.
     #[test]
     fn any_bytes_do_no_harm(
         parts in proptest::collection::vec(
--- a/crates/chicoryrail-runtime/tests/invariants.rs
+++ b/crates/chicoryrail-runtime/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What a broken invariant leaves behind.
+//! Tests that invariant violations are counted and exported.
 
 use chicoryrail_runtime::Invariant;
 use chicoryrail_runtime::Process;
@@ -10,8 +10,8 @@
 #[case::falls(0, 1)]
 fn a_broken_invariant_is_counted(#[case] new: u64, #[case] expected: u64) {
     let process = Process::new();
-    let held = process.invariants.rises(Invariant::ConfigForward, &1, &new);
-    assert_eq!(held, expected == 0);
+    let holds = process.invariants.rises(Invariant::ConfigForward, &1, &new);
+    assert_eq!(holds, expected == 0);
     assert_eq!(process.invariants.count(Invariant::ConfigForward), expected);
 }
 
--- a/crates/chicoryrail-runtime/tests/outgoing.rs
+++ b/crates/chicoryrail-runtime/tests/outgoing.rs
@@ -1,4 +1,4 @@
-//! Connections to servers and to the store.
+//! Tests of the HTTP client on slow, stalled, abandoned and refused connections.
 
 use std::io::ErrorKind;
 use std::io::Read;
@@ -17,12 +17,11 @@
 use http::Response;
 use rstest::rstest;
 
-/// Bytes of an order that is larger than what the path takes in while nobody reads.
-const LONG: usize = 16 << 20;
+/// Bytes of a request body that exceeds the buffers of the path while the server does not read.
+const BODY_BYTES: usize = 16 << 20;
 
-/// A leader sends an order, the path holds it up, the leader gives the call up; another leader acts. What is
-/// still on its way must not arrive afterwards: the connection is reset, not closed, so the system drops
-/// what it has not delivered.
+/// Guards against the late delivery of an abandoned call: the path delays a leader's call, the call times out and
+/// another leader acts. The connection must be reset, not closed, so that the kernel drops undelivered bytes.
 #[test]
 fn a_call_that_is_given_up_does_not_arrive_later() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -35,7 +34,9 @@
         (all.len(), end)
     });
     let result = block_on(async {
-        let request = Request::post("/").body(Bytes::from(vec![1; LONG])).unwrap();
+        let request = Request::post("/")
+            .body(Bytes::from(vec![1; BODY_BYTES]))
+            .unwrap();
         let client = HttpClient::default();
         let result = client.call(addr, request, Millis(100)).await;
         monoio::time::sleep(Millis(1_000).duration()).await;
@@ -46,11 +47,11 @@
         "{result:?}"
     );
     let (read, end) = server.join().unwrap();
-    assert!(read < LONG, "{read} bytes arrived");
+    assert!(read < BODY_BYTES, "{read} bytes arrived");
     assert_eq!(end, Err(ErrorKind::ConnectionReset));
 }
 
-/// Starts a server that sends `pieces` of an answer of 100 bytes, one each 60 ms, and then nothing more.
+/// Starts a server that sends `pieces` of 10 bytes of a 100-byte response, one every 60 ms, and then stalls.
 fn slow_server(pieces: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -68,7 +69,7 @@
     addr
 }
 
-fn read_slowly(pieces: usize) -> Result<Bytes, HttpError> {
+fn call_slow_server(pieces: usize) -> Result<Bytes, HttpError> {
     let addr = slow_server(pieces);
     let wait = AnswerWait {
         first: Millis(250),
@@ -77,28 +78,28 @@
     let request = Request::get("/").body(Bytes::new()).unwrap();
     block_on(async {
         let client = HttpClient::default();
-        let answer = client.call_while_arriving(addr, request, wait, || {}).await;
-        answer.map(Response::into_body)
+        let response = client.call_while_arriving(addr, request, wait, || {}).await;
+        response.map(Response::into_body)
     })
 }
 
-/// A long answer over a slow link is given up although it is arriving.
+/// Guards against a timeout of a long response on a slow link while data is still arriving.
 #[test]
 fn an_answer_that_is_arriving_is_waited_for() {
-    assert_eq!(read_slowly(10).unwrap().len(), 100);
+    assert_eq!(call_slow_server(10).unwrap().len(), 100);
 }
 
-/// A server that freezes amid its answer is waited for without end.
+/// Guards against an endless wait for a server that stalls before or within its response body.
 #[rstest]
 #[case::before_the_first_piece(0, 0)]
-#[case::amid_the_answer(7, 70)]
+#[case::within_the_body(7, 70)]
 fn an_answer_that_stalls_is_given_up(#[case] pieces: usize, #[case] bytes: usize) {
-    let result = read_slowly(pieces);
+    let result = call_slow_server(pieces);
     let stalled = matches!(result, Err(HttpError::Timeout { received, .. }) if received == bytes);
     assert!(stalled, "{result:?}");
 }
 
-/// Nobody listens at the address: the call fails at once, and says that nothing was sent.
+/// Without a listener at the address, the call fails at once with `Connect`, which means that nothing was sent.
 #[test]
 fn a_refused_connection_is_told_at_once() {
     let free = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/chicoryrail-runtime/tests/pipeline.rs
+++ b/crates/chicoryrail-runtime/tests/pipeline.rs
@@ -1,4 +1,4 @@
-//! Requests that a caller sends before the one in front is answered.
+//! Tests of pipelined requests: those sent before the responses to earlier ones.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -30,17 +30,17 @@
 use monoio::time::sleep;
 use monoio::time::timeout;
 
-/// Work of a slow request.
+/// Duration of a slow request.
 const SLOW: Millis = Millis(100);
 
-/// Far less than a slow request takes.
+/// Far shorter than a slow request.
 const QUICK: Millis = Millis(30);
 
-/// Begins and ends of requests, in order; one that is dropped has no end.
+/// Starts (`begin`) and ends (`end`) of requests, in order. A request that is dropped has no end.
 type Events = Rc<RefCell<Vec<String>>>;
 
-/// A listener whose answers hold the path that was asked for. The start of the path says what becomes of a request:
-/// `/slow` takes a while, `/order` may not begin early, `/close` ends the connection, `/cut` breaks off.
+/// A listener whose responses contain the path of the request. The prefix of the path selects the behavior: `/slow`
+/// takes [`SLOW`], `/order` must not start early, `/close` closes the connection, `/cut` ends the body early.
 struct Service {
     addr: SocketAddr,
     events: Events,
@@ -53,12 +53,12 @@
         let addr = listener.local_addr().unwrap();
         let events = Events::default();
         let stop = CancellationToken::new();
-        let told = Rc::clone(&events);
+        let recorded = Rc::clone(&events);
         monoio::spawn(serve_http_shared(
             listener,
             Rc::new(std::cell::Cell::new(HttpLimits::default())),
             stop.clone(),
-            move |request, _| answer(Rc::clone(&told), request),
+            move |request, _| respond(Rc::clone(&recorded), request),
             |head| !head.uri.path().starts_with("/order"),
         ));
         Self { addr, events, stop }
@@ -74,7 +74,7 @@
     }
 }
 
-async fn answer(events: Events, request: Request<Body>) -> Response<Body> {
+async fn respond(events: Events, request: Request<Body>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     events.borrow_mut().push(format!("begin {path}"));
     let _ = request.into_body().collect().await;
@@ -87,19 +87,19 @@
             Ok(Frame::data(Bytes::from(path))),
             Err(std::io::Error::other("cut")),
         ];
-        // The second part comes later, so that the first is on its way.
+        // Delays the second part so that the first one is sent before.
         let parts = stream::iter(parts).then(|part| async move {
             sleep(Duration::from_millis(5)).await;
             part
         });
         return Response::new(Box::pin(StreamBody::new(Box::pin(parts))));
     }
-    let mut answer = Response::new(full(format!("<{path}>")));
+    let mut response = Response::new(full(format!("<{path}>")));
     if path.starts_with("/close") {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    answer
+    response
 }
 
 struct Caller {
@@ -112,8 +112,8 @@
         sent.unwrap();
     }
 
-    /// Reads until the answers to `count` requests are in, or the connection has ended; returns their paths.
-    async fn answers(&mut self, count: usize) -> Vec<String> {
+    /// Reads until `count` responses are received or the connection has ended, and returns their paths.
+    async fn read_responses(&mut self, count: usize) -> Vec<String> {
         let mut text = String::new();
         while text.matches('>').count() < count {
             let read = self.stream.read(vec![0; 4_096]);
@@ -137,8 +137,8 @@
     paths.iter().map(|p| get(p)).collect()
 }
 
-/// A caller sends three lookups at once, the first of which takes long. The others are done meanwhile, and all
-/// answers come in the order of the requests, as soon as the first is there.
+/// Guards against head-of-line blocking: of three pipelined lookups the first is slow. The others run concurrently, and
+/// the responses keep the order of the requests.
 #[test]
 fn quick_requests_do_not_wait_for_a_slow_one_in_front() {
     block_on(async {
@@ -147,15 +147,15 @@
         let clock = Clock::start();
         let paths = ["/slow/1", "/quick/2", "/slow/3"];
         caller.send(&gets(&paths)).await;
-        assert_eq!(caller.answers(3).await, paths);
+        assert_eq!(caller.read_responses(3).await, paths);
         let took = clock.now();
         assert!(took < SLOW + QUICK, "{took:?}");
         assert_eq!(service.events()[2], "end /quick/2");
     });
 }
 
-/// A caller sends more lookups at once than are served at a time. The rest waits and is served as others end:
-/// nine at a time, so eighteen slow ones take two rounds.
+/// Guards against unbounded concurrency of one connection: at most nine requests (the current one and eight early ones)
+/// are served at a time, so eighteen slow ones take two rounds.
 #[test]
 fn a_caller_has_a_bounded_number_under_way() {
     block_on(async {
@@ -168,14 +168,14 @@
             .await;
         sleep(QUICK.duration()).await;
         assert_eq!(service.events().len(), 9);
-        assert_eq!(caller.answers(18).await, paths);
+        assert_eq!(caller.read_responses(18).await, paths);
         let took = clock.now();
         assert!(took < SLOW + SLOW + QUICK + QUICK, "{took:?}");
     });
 }
 
-/// An order stands among lookups. It begins when what is in front of it is answered, and what is behind it begins
-/// when its turn comes: were the connection to end before, nothing would have run that the caller sends again.
+/// An order among lookups starts only when the earlier requests are answered, and later ones start only after it.
+/// Otherwise, if the connection ended early, an order could have run that the caller sends again.
 #[test]
 fn an_order_waits_for_its_turn_and_holds_up_what_is_behind() {
     block_on(async {
@@ -185,7 +185,7 @@
         let text = get("/slow/1") + order + &gets(&["/quick/3", "/quick/4"]);
         caller.send(&text).await;
         let paths = ["/slow/1", "/order/2", "/quick/3", "/quick/4"];
-        assert_eq!(caller.answers(4).await, paths);
+        assert_eq!(caller.read_responses(4).await, paths);
         let order: Vec<String> = paths
             .iter()
             .flat_map(|p| [format!("begin {p}"), format!("end {p}")])
@@ -195,8 +195,8 @@
     });
 }
 
-/// An order without a body is one all the same, and a lookup with a body waits for its turn too: where it ends is
-/// told when it is read.
+/// An order without a body must not start early. Neither must a lookup with a body, whose end is known only when
+/// the body is read.
 #[test]
 fn neither_an_order_without_a_body_nor_a_lookup_with_one_begins_early() {
     block_on(async {
@@ -215,13 +215,13 @@
             sleep(QUICK.duration()).await;
             assert_eq!(service.events(), ["begin /slow/1"]);
             caller.send("0\r\n\r\n").await;
-            let answers = caller.answers(2).await;
-            assert_eq!(answers[..2], ["/slow/1", path]);
+            let responses = caller.read_responses(2).await;
+            assert_eq!(responses[..2], ["/slow/1", path]);
         }
     });
 }
 
-/// The head of the second lookup comes byte by byte while the first is served. It begins with its last byte.
+/// The head of the second lookup arrives byte by byte while the first is in flight. It starts with its last byte.
 #[test]
 fn a_head_that_comes_byte_by_byte_begins_with_its_last_byte() {
     block_on(async {
@@ -238,11 +238,11 @@
         caller.send(last).await;
         sleep(Millis(10).duration()).await;
         assert_eq!(service.events()[1..], ["begin /quick/2", "end /quick/2"]);
-        assert_eq!(caller.answers(2).await, ["/slow/1", "/quick/2"]);
+        assert_eq!(caller.read_responses(2).await, ["/slow/1", "/quick/2"]);
     });
 }
 
-/// A caller sends two slow lookups and leaves. Both are dropped at once, so that no server works on for nobody.
+/// Guards against wasted work: the caller of two slow lookups disconnects, and both are cancelled at once.
 #[test]
 fn requests_of_a_caller_that_leaves_are_dropped() {
     block_on(async {
@@ -256,8 +256,8 @@
     });
 }
 
-/// The process stops while lookups of one connection are under way. Those that were begun are answered, the last of
-/// them with the word that the connection ends; the caller can tell that nothing else was read.
+/// The process stops while lookups of one connection are in flight. Those already started are answered, the last one
+/// with `connection: close`, so the caller knows that no later request was read.
 #[test]
 fn a_stop_answers_what_was_begun() {
     block_on(async {
@@ -269,13 +269,13 @@
         service.stop.cancel();
         sleep(QUICK.duration()).await;
         caller.send(&get("/quick/4")).await;
-        assert_eq!(caller.answers(4).await, paths);
+        assert_eq!(caller.read_responses(4).await, paths);
         assert!(!service.events().contains(&"begin /quick/4".to_owned()));
     });
 }
 
-/// An answer says that the connection is to be closed while lookups behind it are under way. Their servers are at
-/// work, so the connection ends after them, not before; an order behind them is not begun.
+/// A response has `connection: close` while later lookups are in flight. Servers are processing those, so the
+/// connection ends after their responses. A later order does not start.
 #[test]
 fn an_answer_that_closes_lets_those_begun_end_and_nothing_else_begin() {
     block_on(async {
@@ -283,25 +283,25 @@
         let mut caller = service.caller().await;
         let paths = ["/slow/1", "/close/2", "/slow/3", "/close/4", "/order/5"];
         caller.send(&gets(&paths)).await;
-        assert_eq!(caller.answers(5).await, paths[..4]);
+        assert_eq!(caller.read_responses(5).await, paths[..4]);
         assert!(!service.events().contains(&"begin /order/5".to_owned()));
     });
 }
 
-/// The first answer breaks off midway. The caller sees the connection end within it, and nothing that could pass for
-/// the rest: no answer to the lookups behind it.
+/// Guards against a mixed-up response: the first response body ends early. The connection must end within it, since the
+/// response to the next lookup could pass for the missing rest.
 #[test]
 fn nothing_follows_an_answer_that_breaks_off() {
     block_on(async {
         let service = Service::start();
         let mut caller = service.caller().await;
         caller.send(&gets(&["/cut/1", "/quick/2"])).await;
-        assert_eq!(caller.answers(2).await, Vec::<String>::new());
+        assert_eq!(caller.read_responses(2).await, Vec::<String>::new());
     });
 }
 
-/// A request body that comes in two parts is read whole, whoever read the second part: with the first request under
-/// way the bytes behind it are looked at before the HTTP layer asks for them.
+/// Guards against the loss of body bytes: while the first request is in flight, the second part of its body is read
+/// ahead before hyper requests it.
 #[test]
 fn a_body_in_parts_is_read_whole() {
     block_on(async {
@@ -312,6 +312,6 @@
         sleep(QUICK.duration()).await;
         assert_eq!(service.events(), ["begin /order/1"]);
         caller.send(&format!("def{}", get("/quick/2"))).await;
-        assert_eq!(caller.answers(2).await, ["/order/1", "/quick/2"]);
+        assert_eq!(caller.read_responses(2).await, ["/order/1", "/quick/2"]);
     });
 }
--- a/crates/chicoryrail-runtime/tests/ready.rs
+++ b/crates/chicoryrail-runtime/tests/ready.rs
@@ -1,4 +1,4 @@
-//! What a process answers the balancer.
+//! Tests of the response to the load balancer's readiness probe.
 
 use chicoryrail_runtime::Process;
 use rstest::rstest;
