--- a/crates/chicoryrail-runtime/src/log_sink.rs
+++ b/crates/chicoryrail-runtime/src/log_sink.rs
@@ -14,7 +14,7 @@
 use nix::poll::poll;
 use nix::unistd::write;
 
-/// Bytes buffered for a slow reader. Further lines are dropped and counted.
+/// Most bytes buffered for a slow reader. Further lines are dropped and counted.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// Bytes of one write. A pipe that polls as writable accepts this many without blocking (`PIPE_BUF` on Linux).
