--- a/crates/chicoryrail-runtime/tests/head_scanner.rs
+++ b/crates/chicoryrail-runtime/tests/head_scanner.rs
@@ -35,7 +35,7 @@
 #[case::closes("connection: close", "", &["/a!"])]
 #[case::upgrades("connection: upgrade\r\nupgrade: x", "", &["/a!"])]
 #[case::expect_continue("expect: 100-continue", "", &["/a!"])]
-fn a_head_says_what_follows_it(#[case] header: &str, #[case] body: &str, #[case] paths: &[&str]) {
+fn headers_determine_the_framing(#[case] header: &str, #[case] body: &str, #[case] paths: &[&str]) {
     let text = format!("GET /a HTTP/1.1\r\n{header}\r\n\r\n{body}GET /b HTTP/1.1\r\nh: i\r\n\r\n");
     assert_eq!(found(&text), paths);
 }
@@ -45,7 +45,7 @@
 #[case::invalid("nonsense\r\n\r\n".to_owned())]
 #[case::older_version("GET /a HTTP/1.0\r\n\r\n".to_owned())]
 #[case::too_long(format!("GET /a HTTP/1.1\r\nx: {}\r\n", "y".repeat(LIMIT)))]
-fn nothing_is_found_behind_what_is_no_head(#[case] start: String) {
+fn an_invalid_head_stops_the_scanner(#[case] start: String) {
     let text = format!("{start}GET /b HTTP/1.1\r\n\r\n");
     assert!(!found(&text).contains(&"/b".to_owned()), "{text}");
 }
@@ -76,7 +76,7 @@
 
     /// The scanner finds one head for each request, in order, however the bytes are split.
     #[test]
-    fn splits_change_nothing(
+    fn heads_do_not_depend_on_splits(
         requests in proptest::collection::vec(request(), 1..8),
         cuts in proptest::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
@@ -95,7 +95,7 @@
 
     /// Arbitrary bytes in arbitrary chunks cause no panic, neither in the scanner nor in parsing its heads.
     #[test]
-    fn any_bytes_do_no_harm(
+    fn arbitrary_bytes_do_not_panic(
         parts in proptest::collection::vec(
             prop_oneof![
                 proptest::collection::vec(any::<u8>(), 0..60),
--- a/crates/chicoryrail-runtime/tests/outgoing.rs
+++ b/crates/chicoryrail-runtime/tests/http_client.rs
@@ -23,7 +23,7 @@
 /// Guards against the late delivery of an abandoned call: the path delays a leader's call, the call times out and
 /// another leader acts. The connection must be reset, not closed, so that the kernel drops undelivered bytes.
 #[test]
-fn a_call_that_is_given_up_does_not_arrive_later() {
+fn an_abandoned_call_is_not_delivered_later() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let server = thread::spawn(move || {
@@ -85,7 +85,7 @@
 
 /// Guards against a timeout of a long response on a slow link while data is still arriving.
 #[test]
-fn an_answer_that_is_arriving_is_waited_for() {
+fn a_response_in_progress_does_not_time_out() {
     assert_eq!(call_slow_server(10).unwrap().len(), 100);
 }
 
@@ -93,7 +93,7 @@
 #[rstest]
 #[case::before_the_first_piece(0, 0)]
 #[case::within_the_body(7, 70)]
-fn an_answer_that_stalls_is_given_up(#[case] pieces: usize, #[case] bytes: usize) {
+fn a_stalled_response_times_out(#[case] pieces: usize, #[case] bytes: usize) {
     let result = call_slow_server(pieces);
     let stalled = matches!(result, Err(HttpError::Timeout { received, .. }) if received == bytes);
     assert!(stalled, "{result:?}");
@@ -101,7 +101,7 @@
 
 /// Without a listener at the address, the call fails at once with `Connect`, which means that nothing was sent.
 #[test]
-fn a_refused_connection_is_told_at_once() {
+fn a_refused_connection_fails_at_once() {
     let free = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = free.local_addr().unwrap();
     drop(free);
--- a/crates/chicoryrail-runtime/tests/invariants.rs
+++ b/crates/chicoryrail-runtime/tests/invariants.rs
@@ -6,7 +6,7 @@
 
 #[rstest]
 #[case::rises(2, 0)]
-#[case::stands_still(1, 1)]
+#[case::unchanged(1, 1)]
 #[case::falls(0, 1)]
 fn a_broken_invariant_is_counted(#[case] new: u64, #[case] expected: u64) {
     let process = Process::new();
--- a/crates/chicoryrail-runtime/tests/log_sink.rs
+++ b/crates/chicoryrail-runtime/tests/log_sink.rs
@@ -18,7 +18,7 @@
 /// Guards against a process that blocks on its log: the reader stops while the process keeps logging. Lines that do
 /// not fit into the bounded buffer are dropped, and a log line reports their number.
 #[test]
-fn a_reader_that_stops_blocks_nobody() {
+fn a_stalled_reader_does_not_block_the_process() {
     let sink = LogSink::new(u32::MAX);
     let (writer, reader) = UnixStream::pair().unwrap();
     let started = Instant::now();
@@ -43,7 +43,7 @@
 /// Many failures log more lines than the rate allows. Each second writes at most the rate, and the next second starts
 /// with a line that reports the number of dropped lines.
 #[test]
-fn a_storm_costs_no_more_than_the_rate() {
+fn lines_above_the_rate_are_dropped_and_counted() {
     let sink = LogSink::new(50);
     let (writer, reader) = UnixStream::pair().unwrap();
     for i in 0..500 {
@@ -58,7 +58,7 @@
 
 /// Guards against the loss of a view change: many refused requests fill the log in the same second.
 #[test]
-fn a_storm_of_requests_leaves_room_for_the_rest() {
+fn request_lines_do_not_displace_other_lines() {
     let sink = LogSink::new(50);
     let (writer, reader) = UnixStream::pair().unwrap();
     for _ in 0..500 {
--- a/crates/chicoryrail-runtime/tests/pipeline.rs
+++ b/crates/chicoryrail-runtime/tests/pipeline.rs
@@ -157,7 +157,7 @@
 /// Guards against unbounded concurrency of one connection: at most nine requests (the current one and eight early ones)
 /// are served at a time, so eighteen slow ones take two rounds.
 #[test]
-fn a_caller_has_a_bounded_number_under_way() {
+fn concurrency_of_a_connection_is_bounded() {
     block_on(async {
         let service = Service::start();
         let mut caller = service.caller().await;
@@ -177,7 +177,7 @@
 /// An order among lookups starts only when the earlier requests are answered, and later ones start only after it.
 /// Otherwise, if the connection ended early, an order could have run that the caller sends again.
 #[test]
-fn an_order_waits_for_its_turn_and_holds_up_what_is_behind() {
+fn an_order_waits_for_earlier_requests_and_delays_later_ones() {
     block_on(async {
         let service = Service::start();
         let mut caller = service.caller().await;
@@ -198,7 +198,7 @@
 /// An order without a body must not start early. Neither must a lookup with a body, whose end is known only when
 /// the body is read.
 #[test]
-fn neither_an_order_without_a_body_nor_a_lookup_with_one_begins_early() {
+fn neither_an_order_without_a_body_nor_a_lookup_with_one_starts_early() {
     block_on(async {
         for (head, path) in [
             ("POST /order/2 HTTP/1.1\r\nhost: a", "/order/2"),
@@ -223,7 +223,7 @@
 
 /// The head of the second lookup arrives byte by byte while the first is in flight. It starts with its last byte.
 #[test]
-fn a_head_that_comes_byte_by_byte_begins_with_its_last_byte() {
+fn a_head_sent_byte_by_byte_starts_with_its_last_byte() {
     block_on(async {
         let service = Service::start();
         let mut caller = service.caller().await;
@@ -244,7 +244,7 @@
 
 /// Guards against wasted work: the caller of two slow lookups disconnects, and both are cancelled at once.
 #[test]
-fn requests_of_a_caller_that_leaves_are_dropped() {
+fn requests_of_a_disconnected_caller_are_cancelled() {
     block_on(async {
         let service = Service::start();
         let mut caller = service.caller().await;
@@ -259,7 +259,7 @@
 /// The process stops while lookups of one connection are in flight. Those already started are answered, the last one
 /// with `connection: close`, so the caller knows that no later request was read.
 #[test]
-fn a_stop_answers_what_was_begun() {
+fn a_stop_answers_started_requests() {
     block_on(async {
         let service = Service::start();
         let mut caller = service.caller().await;
@@ -277,7 +277,7 @@
 /// A response has `connection: close` while later lookups are in flight. Servers are processing those, so the
 /// connection ends after their responses. A later order does not start.
 #[test]
-fn an_answer_that_closes_lets_those_begun_end_and_nothing_else_begin() {
+fn a_closing_response_lets_started_requests_finish_and_starts_no_others() {
     block_on(async {
         let service = Service::start();
         let mut caller = service.caller().await;
@@ -291,7 +291,7 @@
 /// Guards against a mixed-up response: the first response body ends early. The connection must end within it, since the
 /// response to the next lookup could pass for the missing rest.
 #[test]
-fn nothing_follows_an_answer_that_breaks_off() {
+fn nothing_follows_a_truncated_response() {
     block_on(async {
         let service = Service::start();
         let mut caller = service.caller().await;
@@ -303,7 +303,7 @@
 /// Guards against the loss of body bytes: while the first request is in flight, the second part of its body is read
 /// ahead before hyper requests it.
 #[test]
-fn a_body_in_parts_is_read_whole() {
+fn a_body_in_parts_is_read_completely() {
     block_on(async {
         let service = Service::start();
         let mut caller = service.caller().await;
