--- a/crates/chicoryrail-runtime/tests/head_scanner.rs
+++ b/crates/chicoryrail-runtime/tests/head_scanner.rs
@@ -40,7 +40,7 @@
     assert_eq!(found(&text), paths);
 }
 
-/// An invalid or too long head stops the scanner for good, since the start of the next request is uncertain.
+/// An invalid, HTTP/1.0 or too long head stops the scanner for good, since the start of the next request is uncertain.
 #[rstest]
 #[case::invalid("nonsense\r\n\r\n".to_owned())]
 #[case::older_version("GET /a HTTP/1.0\r\n\r\n".to_owned())]
