--- a/crates/chicoryctl/src/error.rs
+++ b/crates/chicoryctl/src/error.rs
@@ -116,7 +116,7 @@
     /// Without the data centre, a service would keep less than half of its slots.
     #[snafu(display(
         "without {dc}, service {service} has {remaining} of {total} slots left, less than half; \
-         use --force to take it out anyway"
+         --force goes on"
     ))]
     TooFewSlots {
         /// The data centre.
--- a/crates/chicoryctl/src/settings.rs
+++ b/crates/chicoryctl/src/settings.rs
@@ -57,8 +57,7 @@
     },
     /// Shows or changes organisations.
     Organisation(OrganisationCommand),
-    /// Shows the configuration version, the leader, the data centres out of service, hosts, services and
-    /// organisations.
+    /// Shows the configuration version, leader, hosts, services, organisations and data centres out of service.
     Status,
     /// Shows which server owns a key.
     Owner {
@@ -106,9 +105,7 @@
     let dc = dc_commands();
     let status = bpaf::pure(Command::Status)
         .to_options()
-        .descr(
-            "Shows configuration version, leader, data centres out of service, hosts and services",
-        )
+        .descr("Shows leader, hosts, services, organisations and data centres out of service")
         .command("status");
     let service = positional::<ServiceName>("SERVICE").help("Name of a keyed service");
     let key = positional::<u16>("KEY").help("Key, 0 to 65535");
@@ -157,12 +154,12 @@
         "CHICORYRAIL_FORCE",
         "Goes ahead even if a service keeps less than half of its slots",
     );
-    let dc = positional::<DcName>("NAME").help("Name of the data centre");
+    let dc = positional::<DcName>("NAME");
     let out = construct!(Command::Out { force, dc })
         .to_options()
         .descr("Takes a data centre out of service: its servers get no new requests")
         .command("out");
-    let dc = positional::<DcName>("NAME").help("Name of the data centre");
+    let dc = positional::<DcName>("NAME");
     let back = construct!(Command::In { dc })
         .to_options()
         .descr("Brings a data centre back into service")
--- a/crates/chicoryrail-timeline/src/settings.rs
+++ b/crates/chicoryrail-timeline/src/settings.rs
@@ -117,7 +117,7 @@
         flag,
         env,
         kind,
-        "Only lines in which the log key of this name has this value",
+        "Only lines with this value under the log key of the same name",
     )
     .optional()
     .map(move |value| value.map(|v| (flag, v)))
--- a/xtask/src/bench.rs
+++ b/xtask/src/bench.rs
@@ -20,7 +20,7 @@
 
 use crate::tools::print_json;
 
-/// Requests that a caller sends in one write before it reads the first response.
+/// Requests that a caller sends before it reads the first response; the listener starts all of them at once.
 const PIPELINE_DEPTH: u32 = 8;
 
 /// A request as it is sent.
@@ -33,7 +33,7 @@
 /// Options of the measurement
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Bench {
-    /// Requests sent one at a time, and again pipelined
+    /// Requests to send in each mode, one at a time and pipelined
     #[bpaf(argument("N"), fallback(40_000), display_fallback)]
     requests: u32,
 }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 enum Task {
-    /// Checks formatting, lints and documentation and runs every test, as CI does
+    /// Checks formatting, lints and documentation and runs the tests, as CI does
     #[bpaf(command)]
     Ci,
     /// Builds all programs and runs every test that is not on the list of known failures
@@ -40,10 +40,10 @@
     /// Formats the workspace
     #[bpaf(command)]
     Fmt,
-    /// Runs mixed load on both deployments with simulated servers and store, and checks the outcome
+    /// Starts and configures both deployments with simulated servers and store, runs mixed load, checks the outcome
     #[bpaf(command)]
     Demo(#[bpaf(external(demo))] Demo),
-    /// Runs real processes behind a fault-injecting proxy under mixed load and checks their guarantees
+    /// Runs real processes behind a fault-injecting proxy under mixed load and checks that their guarantees hold
     #[bpaf(command)]
     Chaos(#[bpaf(external(chaos))] Chaos),
     /// Measures the cost of a request through a listener, one at a time and pipelined
