--- a/crates/chicoryctl/src/change.rs
+++ b/crates/chicoryctl/src/change.rs
@@ -38,7 +38,7 @@
 pub(crate) fn check(path: &Path) -> Result<String, CtlError> {
     let site = read_file(path)?.build(1).context(ValueSnafu { path })?;
     Ok(format!(
-        "good: {} services, {} routes\n",
+        "valid configuration: {} services, {} routes\n",
         site.services.len(),
         site.routes().len()
     ))
@@ -136,11 +136,11 @@
     }
     let key = store_key(&Subject::TakenOut(dc.clone()));
     if status.dcs_out.contains(dc) {
-        return Ok(format!("{dc} is out already\n"));
+        return Ok(format!("{dc} is already out of service\n"));
     }
     let txn = Txn::default().expect(&key, 0).put(&key, b"{}");
     match store.commit(&txn).await {
-        Ok(_) | Err(StoreError::Conflict { .. }) => Ok(format!("{dc} is out\n")),
+        Ok(_) | Err(StoreError::Conflict { .. }) => Ok(format!("{dc} is out of service\n")),
         Err(source) => Err(CtlError::Store { source }),
     }
 }
@@ -149,11 +149,11 @@
 pub(crate) async fn back(store: &KvStore, dc: &DcName) -> Result<String, CtlError> {
     let key = store_key(&Subject::TakenOut(dc.clone()));
     if store.item(&key).await.context(StoreSnafu)?.is_none() {
-        return Ok(format!("{dc} is not out\n"));
+        return Ok(format!("{dc} is not out of service\n"));
     }
     let txn = Txn::default().remove(&key);
     store.commit(&txn).await.context(StoreSnafu)?;
-    Ok(format!("{dc} is back\n"))
+    Ok(format!("{dc} is back in service\n"))
 }
 
 /// Returns an error if a service would keep less than half of its current slots without the data centre.
--- a/crates/chicoryctl/src/error.rs
+++ b/crates/chicoryctl/src/error.rs
@@ -67,7 +67,7 @@
         source: toml::ser::Error,
     },
     /// The stored version is not the expected one.
-    #[snafu(display("version {found} is there, not {expected}; nothing was changed"))]
+    #[snafu(display("stored version is {found}, expected {expected}; nothing was changed"))]
     Version {
         /// Expected version.
         expected: u64,
@@ -84,20 +84,20 @@
         source: SiteError,
     },
     /// The configuration has no organisation of this name.
-    #[snafu(display("no organisation is called {name}"))]
+    #[snafu(display("organisation {name} does not exist"))]
     NoOrganisation {
         /// Name that was given.
         name: OrganisationName,
     },
     /// The configuration already has an organisation of this name.
-    #[snafu(display("an organisation is called {name} already"))]
+    #[snafu(display("organisation {name} already exists"))]
     OrganisationExists {
         /// Name that was given.
         name: OrganisationName,
     },
     /// No key of the organisation matches the fingerprint, or several do.
     #[snafu(display(
-        "{found} keys of organisation {name} match fingerprint {fingerprint}; exactly one must match"
+        "{found} keys of organisation {name} match fingerprint {fingerprint}; one must match"
     ))]
     NoSuchKey {
         /// The organisation.
@@ -116,7 +116,7 @@
     /// Without the data centre, a service would keep less than half of its slots.
     #[snafu(display(
         "without {dc}, service {service} has {remaining} of {total} slots left, less than half; \
-         --force goes on"
+         use --force to take it out anyway"
     ))]
     TooFewSlots {
         /// The data centre.
--- a/crates/chicoryctl/src/organisation.rs
+++ b/crates/chicoryctl/src/organisation.rs
@@ -20,7 +20,7 @@
 use crate::error::NoRandomSnafu;
 use crate::status::json_line;
 
-/// Random bytes, and so characters, of a new API key.
+/// Number of random bytes for a new API key; each byte gives one character.
 const KEY_BYTES: usize = 24;
 
 /// Characters of new API keys; each carries five bits.
@@ -112,7 +112,7 @@
         Ok(())
     };
     let version = change::change_file(store, add).await?;
-    Ok(format!("{name} is added, version {version}\n"))
+    Ok(format!("added organisation {name}, version {version}\n"))
 }
 
 async fn new_key(store: &KvStore, name: &OrganisationName) -> Result<String, CtlError> {
@@ -155,7 +155,7 @@
     };
     let version = change_organisation(store, name, remove).await?;
     Ok(format!(
-        "the key of {name} is taken away, version {version}\n"
+        "removed an API key of organisation {name}, version {version}\n"
     ))
 }
 
--- a/crates/chicoryctl/src/status.rs
+++ b/crates/chicoryctl/src/status.rs
@@ -117,7 +117,7 @@
         let mut text = format!("configuration  version {version}\n");
         let leader = match &self.leader {
             Some((name, term)) => format!("{name}, term {term}"),
-            None => "nobody leads".to_owned(),
+            None => "none".to_owned(),
         };
         let _ = writeln!(text, "leader         {leader}");
         let dcs_out: Vec<_> = self.dcs_out.iter().map(DcName::as_str).collect();
@@ -126,19 +126,19 @@
         } else {
             dcs_out.join(", ")
         };
-        let _ = writeln!(text, "out            {dcs_out}");
+        let _ = writeln!(text, "out of service {dcs_out}");
         let _ = writeln!(text, "\nhost                      address");
         for (host, addr) in &self.hosts {
             let _ = writeln!(text, "{host:<25} {addr}");
         }
         let _ = writeln!(
             text,
-            "\nservice                   ready  draining  cold  slots  fence  loose"
+            "\nservice                   ready  draining  warming  slots  fence  old leases"
         );
         for r in rows {
             let _ = writeln!(
                 text,
-                "{:<25} {:>5}  {:>8}  {:>4}  {:>5}  {:>5}  {:>5}",
+                "{:<25} {:>5}  {:>8}  {:>7}  {:>5}  {:>5}  {:>10}",
                 r.service.as_str(),
                 r.ready,
                 r.draining,
@@ -211,10 +211,10 @@
             "owner": owner.map(Life::to_string), "may_still_hold": former,
         }));
     }
-    let owner = owner.map_or_else(|| "nobody".to_owned(), Life::to_string);
+    let owner = owner.map_or_else(|| "no owner".to_owned(), Life::to_string);
     let mut text = format!("{owner}, fence {}\n", record.fence);
     for former in former {
-        let _ = writeln!(text, "may still be held by {former}");
+        let _ = writeln!(text, "{former} may still have a key lease");
     }
     Ok(text)
 }
--- a/crates/chicoryctl/tests/commands.rs
+++ b/crates/chicoryctl/tests/commands.rs
@@ -103,7 +103,7 @@
         };
         operator.run(put(Some(0))).await.unwrap();
         let conflict = operator.run(put(Some(0))).await.unwrap_err();
-        let text = "version 1 is there, not 0; nothing was changed";
+        let text = "stored version is 1, expected 0; nothing was changed";
         assert_eq!(conflict.to_string(), text);
     });
 }
@@ -129,15 +129,21 @@
         assert!(matches!(unknown, CtlError::NoSuchDc { .. }));
         assert_eq!(
             operator.run(out("west", true)).await.unwrap(),
-            "west is out\n"
+            "west is out of service\n"
         );
         let again = operator.run(out("west", true)).await.unwrap();
-        assert_eq!(again, "west is out already\n");
+        assert_eq!(again, "west is already out of service\n");
         let status = operator.run(Command::Status).await.unwrap();
-        assert!(status.contains("out            west"), "{status}");
+        assert!(status.contains("out of service west"), "{status}");
         let back = || Command::In { dc: "west".into() };
-        assert_eq!(operator.run(back()).await.unwrap(), "west is back\n");
-        assert_eq!(operator.run(back()).await.unwrap(), "west is not out\n");
+        assert_eq!(
+            operator.run(back()).await.unwrap(),
+            "west is back in service\n"
+        );
+        assert_eq!(
+            operator.run(back()).await.unwrap(),
+            "west is not out of service\n"
+        );
     });
 }
 
@@ -176,7 +182,7 @@
         let owned = operator.run(owner("kits", 99)).await.unwrap();
         assert_eq!(owned, "i-1@7, fence 9\n");
         let unowned = operator.run(owner("kits", 100)).await.unwrap();
-        assert_eq!(unowned, "nobody, fence 9\n");
+        assert_eq!(unowned, "no owner, fence 9\n");
         let none = operator.run(owner("desk", 1)).await.unwrap_err();
         assert!(matches!(none, CtlError::NoRecord { .. }));
     });
--- a/crates/chicoryctl/tests/organisations.rs
+++ b/crates/chicoryctl/tests/organisations.rs
@@ -89,7 +89,7 @@
         let operator = Operator::with_config("org-errors").await;
         operator.add("school").await.unwrap();
         let duplicate = operator.add("school").await.unwrap_err().to_string();
-        assert_eq!(duplicate, "an organisation is called school already");
+        assert_eq!(duplicate, "organisation school already exists");
         let unknown = OrganisationCommand::NewKey {
             name: "shop".into(),
         };
@@ -98,7 +98,7 @@
             .await
             .unwrap_err()
             .to_string();
-        assert_eq!(error, "no organisation is called shop");
+        assert_eq!(error, "organisation shop does not exist");
         let negative = OrganisationCommand::Limit {
             rate: -1.0,
             burst: 0.0,
--- a/crates/chicoryrail-timeline/src/losses.rs
+++ b/crates/chicoryrail-timeline/src/losses.rs
@@ -177,14 +177,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "{} requests lost in {:.0} s; {} log lines left out",
+            "{} requests lost in {:.0} s; {} log lines dropped",
             self.lost,
             self.to - self.from,
             self.left_out
         )?;
         writeln!(
             f,
-            "{:>8}  {:<10} {:<12} {:<20} {:>8} {:>9}  most at server",
+            "{:>8}  {:<10} {:<12} {:<20} {:>8} {:>9}  most frequent server",
             "requests", "outcome", "cause", "route", "took ms", "waited ms"
         )?;
         for r in &self.reasons {
@@ -194,7 +194,7 @@
                 r.count, r.outcome, r.cause, r.route, r.took_ms, r.waited_ms, r.server, r.at_server
             )?;
         }
-        writeln!(f, "worst seconds:")?;
+        writeln!(f, "seconds with most losses:")?;
         for m in &self.moments {
             let changes: Vec<String> = m.changes.iter().map(|(k, n)| format!("{k} {n}")).collect();
             writeln!(f, "{:>8}  at {}  {}", m.lost, m.at, changes.join(", "))?;
