--- a/crates/chicoryctl/src/status.rs
+++ b/crates/chicoryctl/src/status.rs
@@ -200,7 +200,7 @@
         });
     };
     let owner = record.owner(key);
-    let loose = record.loose.iter().filter(|s| s.span.has(key));
+    let loose = record.loose.iter().filter(|s| s.span.contains(key));
     let former: Vec<_> = loose.map(|s| s.owner.to_string()).collect();
     if json {
         return line(&json!({
--- a/crates/chicoryrail-ownership/src/core_host.rs
+++ b/crates/chicoryrail-ownership/src/core_host.rs
@@ -59,7 +59,7 @@
 /// few strong hosts do this for all, and weak ones join only if the strong ones have too little power in
 /// total.
 #[must_use]
-pub fn joins_core(power: u32, listed: impl Iterator<Item = CoreHost>) -> bool {
+pub fn should_join_core(power: u32, listed: impl Iterator<Item = CoreHost>) -> bool {
     let (count, sum) = listed.fold((0, 0), |(n, sum), host| (n + 1, sum + host.power));
     count < CORE_HOSTS_MAX && (is_strong(power) || sum < CORE_POWER_TARGET)
 }
--- a/crates/chicoryrail-ownership/src/keys/assignment.rs
+++ b/crates/chicoryrail-ownership/src/keys/assignment.rs
@@ -4,7 +4,7 @@
 
 use chicoryrail_core::Life;
 
-use crate::keys::Holder;
+use crate::keys::KeyCandidate;
 use crate::keys::KeyRange;
 use crate::keys::OwnedRange;
 use crate::keys::load_curve::LoadCurve;
@@ -50,7 +50,7 @@
 /// Working copy of a key assignment: the ranges, their owners and the resulting loads.
 #[derive(Debug)]
 pub(crate) struct Assignment<'a> {
-    candidates: &'a [Holder],
+    candidates: &'a [KeyCandidate],
     curve: &'a LoadCurve,
     /// Fair load for a weight of 1, in requests.
     unit_load: f64,
@@ -66,7 +66,7 @@
     /// candidate, become unowned.
     pub(crate) fn new(
         spans: &[OwnedRange],
-        candidates: &'a [Holder],
+        candidates: &'a [KeyCandidate],
         curve: &'a LoadCurve,
         unit_load: f64,
     ) -> Self {
@@ -321,7 +321,11 @@
 
     /// Assigns `piece`, which must lie within one range, to a candidate.
     fn assign(&mut self, piece: KeyRange, to: usize) {
-        let Some(at) = self.ranges.iter().position(|(s, _)| s.has(piece.first)) else {
+        let Some(at) = self
+            .ranges
+            .iter()
+            .position(|(s, _)| s.contains(piece.first))
+        else {
             return;
         };
         let (span, from) = self.ranges[at];
--- a/crates/chicoryrail-ownership/src/keys/due.rs
+++ b/crates/chicoryrail-ownership/src/keys/due.rs
@@ -19,7 +19,7 @@
 
 impl KeyLeases {
     /// Returns the actions that are due now; none once the leader is deposed.
-    pub fn due(&mut self, now: Millis) -> Vec<KeyAction> {
+    pub fn due_actions(&mut self, now: Millis) -> Vec<KeyAction> {
         if self.deposed {
             return Vec::new();
         }
@@ -41,7 +41,7 @@
     /// Drops former leases that have expired or whose server incarnation has ended, and confirmed leases
     /// that expired for lack of a renewal.
     fn expire_leases(&mut self, now: Millis) {
-        let grace = self.timing.hold - self.timing.renew;
+        let grace = self.timing.lease - self.timing.renew_interval;
         for state in self.servers.values_mut() {
             state.confirmed.retain(|l| now < l.renew_at + grace);
         }
@@ -140,7 +140,7 @@
     /// Returns the probes of lost servers that are due. A probe is a release of all keys: a server never
     /// refuses it, and it has no effect on a server without keys.
     fn due_probes(&self, now: Millis) -> Vec<KeyAction> {
-        let owners = self.named();
+        let owners = self.lease_owners();
         let lost = self.servers.iter().filter(|(life, s)| {
             let registered = now.since(s.last_seen) <= REGISTRATION_AGE_MAX && s.addr.port() != 0;
             let idle = s.pending_grant.is_none() && s.pending_releases.is_empty();
--- a/crates/chicoryrail-ownership/src/keys/key_action.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_action.rs
@@ -40,25 +40,25 @@
 
 /// Outcome of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GrantEnd {
+pub enum GrantOutcome {
     /// The server accepted the grant and holds the keys.
-    Held,
+    Granted,
     /// The server has seen a higher fence, so there is another leader.
-    FenceOld,
+    StaleFence,
     /// Another server answered at the address, so the intended incarnation has ended.
-    OtherServer,
+    WrongServer,
     /// No answer: the outcome is indeterminate, and the grant may still arrive.
-    Silent,
+    NoAnswer,
 }
 
 /// Outcome of a release.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReleaseEnd {
+pub enum ReleaseOutcome {
     /// The server no longer holds the keys and no work is running on them. Carries the handover token, if
     /// any.
-    Free(Option<String>),
+    Released(Option<String>),
     /// Another server answered at the address, so the intended incarnation has ended.
-    OtherServer,
+    WrongServer,
     /// No answer: the outcome is indeterminate.
-    Silent,
+    NoAnswer,
 }
--- a/crates/chicoryrail-ownership/src/keys/key_leases.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_leases.rs
@@ -8,12 +8,12 @@
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
 
-use crate::keys::GrantEnd;
+use crate::keys::GrantOutcome;
 use crate::keys::KeyRange;
 use crate::keys::KeyRecord;
 use crate::keys::KeyTiming;
 use crate::keys::OwnedRange;
-use crate::keys::ReleaseEnd;
+use crate::keys::ReleaseOutcome;
 use crate::keys::lease::FormerLease;
 use crate::keys::lease::ReleasedKeys;
 use crate::keys::record::ranges_by_owner;
@@ -40,7 +40,7 @@
     pub(super) former_leases: Vec<FormerLease>,
     pub(super) released_keys: Vec<ReleasedKeys>,
     pub(super) pending_record: Option<KeyRecord>,
-    /// Former owners' leases that expired and have not been returned by `take_waited_out` yet.
+    /// Former owners' leases that expired and have not been returned by `take_expired` yet.
     pub(super) expired: Vec<OwnedRange>,
     pub(super) deposed: bool,
     /// Duration of the grants sent now.
@@ -64,11 +64,11 @@
         store_outage: bool,
     ) -> Self {
         let lease_duration = if store_outage {
-            timing.outage_hold
+            timing.outage_lease
         } else {
-            timing.hold
+            timing.lease
         };
-        let lease_until = now + timing.stale_leader + KeyTiming::max_lease(lease_duration);
+        let lease_until = now + timing.stale_leader_max + KeyTiming::max_lease(lease_duration);
         let former_leases = record.loose.iter().map(|owned| FormerLease {
             owned: owned.clone(),
             expires_at: lease_until,
@@ -86,7 +86,7 @@
             pending_record: Some(next),
             expired: Vec::new(),
             deposed: false,
-            lease_duration: timing.hold,
+            lease_duration: timing.lease,
             record,
         };
         let owners = this.record.spans.iter().chain(&this.record.loose);
@@ -106,18 +106,18 @@
 
     /// Sets whether every host reports the store as unavailable, which determines the duration of the
     /// grants from now on.
-    pub fn store_away(&mut self, outage: bool) {
+    pub fn set_store_down(&mut self, outage: bool) {
         let timing = &self.timing;
         self.lease_duration = if outage {
-            timing.outage_hold
+            timing.outage_lease
         } else {
-            timing.hold
+            timing.lease
         };
     }
 
     /// Returns the duration of the grants sent now.
     #[must_use]
-    pub const fn hold(&self) -> Millis {
+    pub const fn lease_duration(&self) -> Millis {
         self.lease_duration
     }
 
@@ -136,7 +136,7 @@
     /// Returns `true` if a write of the record is pending, former owners may still hold keys, or assigned
     /// keys are not granted yet.
     #[must_use]
-    pub fn is_changing(&self) -> bool {
+    pub fn has_pending_change(&self) -> bool {
         let granted = |s: &ServerState| s.unconfirmed().first().is_none();
         self.pending_record.is_some()
             || !self.former_leases.is_empty()
@@ -145,19 +145,19 @@
 
     /// Returns `true` if the record still lists former owners that no longer hold anything.
     #[must_use]
-    pub fn is_untidy(&self) -> bool {
+    pub fn has_stale_former_owners(&self) -> bool {
         self.record.loose.len() > self.former_leases.len()
     }
 
     /// Returns `true` if a write of the record is due or in progress.
     #[must_use]
-    pub const fn is_writing(&self) -> bool {
+    pub const fn is_write_pending(&self) -> bool {
         self.pending_record.is_some()
     }
 
     /// Returns the servers that keys are assigned to or that may still hold keys.
     #[must_use]
-    pub fn named(&self) -> Vec<Life> {
+    pub fn lease_owners(&self) -> Vec<Life> {
         let owners = self.record.spans.iter().map(|s| s.owner.clone());
         let former = self.former_leases.iter().map(|c| c.owned.owner.clone());
         owners.chain(former).collect()
@@ -169,29 +169,29 @@
         let Some(since) = self.servers.get(life).and_then(|s| s.unanswered_since) else {
             return false;
         };
-        now.since(since) >= Millis(self.timing.hold.0 / 2)
+        now.since(since) >= Millis(self.timing.lease.0 / 2)
     }
 
     /// Returns the keys whose former owner's lease ran until its end, and clears them.
-    pub fn take_waited_out(&mut self) -> Vec<OwnedRange> {
+    pub fn take_expired(&mut self) -> Vec<OwnedRange> {
         std::mem::take(&mut self.expired)
     }
 
     /// Returns since when a server has not answered grants.
     #[must_use]
-    pub fn silent_since(&self, life: &Life) -> Option<Millis> {
+    pub fn unanswered_since(&self, life: &Life) -> Option<Millis> {
         self.servers.get(life)?.unanswered_since
     }
 
     /// Returns the keys that are assigned to a server but not granted to it yet.
     #[must_use]
-    pub fn blocked(&self) -> Vec<KeyRange> {
+    pub fn ungranted_keys(&self) -> Vec<KeyRange> {
         let servers = self.servers.values();
         servers.flat_map(|s| s.unconfirmed().into_spans()).collect()
     }
 
     /// Records a server's address and that its registration was seen now.
-    pub fn server_at(&mut self, now: Millis, life: &Life, addr: SocketAddr) {
+    pub fn set_server_addr(&mut self, now: Millis, life: &Life, addr: SocketAddr) {
         let state = self.servers.entry(life.clone());
         let state = state.or_insert_with(|| ServerState::new(addr, now));
         state.addr = addr;
@@ -199,7 +199,7 @@
     }
 
     /// Records that a server incarnation has ended, so that it holds nothing.
-    pub fn ended(&mut self, life: &Life) {
+    pub fn server_ended(&mut self, life: &Life) {
         if let Some(state) = self.servers.get_mut(life) {
             state.ended = true;
             state.confirmed.clear();
@@ -207,13 +207,13 @@
     }
 
     /// Starts a change of the owners. Must be called only while no change is pending.
-    pub fn change(&mut self, spans: Vec<OwnedRange>, attempt: u64) {
+    pub fn begin_change(&mut self, spans: Vec<OwnedRange>, attempt: u64) {
         let loose: Vec<_> = self.former_leases.iter().map(|c| c.owned.clone()).collect();
         self.pending_record = Some(self.record.next(spans, &loose, attempt));
     }
 
     /// Records that the pending record was written to the store, and applies it.
-    pub fn committed(&mut self, now: Millis) {
+    pub fn record_written(&mut self, now: Millis) {
         let Some(next) = self.pending_record.take() else {
             return;
         };
@@ -247,12 +247,12 @@
     }
 
     /// Records that a grant was sent; from now on it may take effect.
-    pub fn granting(&mut self, now: Millis, life: &Life, span: KeyRange) {
-        let max_lease = self.timing.grant_limit + KeyTiming::max_lease(self.lease_duration);
+    pub fn grant_sent(&mut self, now: Millis, life: &Life, span: KeyRange) {
+        let max_lease = self.timing.grant_timeout + KeyTiming::max_lease(self.lease_duration);
         if let Some(state) = self.servers.get_mut(life) {
             state.pending_grant = Some(span);
             state.lease_duration = self.lease_duration;
-            if self.lease_duration > self.timing.hold {
+            if self.lease_duration > self.timing.lease {
                 state.outage_lease_until = state.outage_lease_until.max(now + max_lease);
             }
             state.lease_until = state.lease_until.max(now + max_lease);
@@ -260,26 +260,33 @@
     }
 
     /// Records the outcome of a grant.
-    pub fn granted(&mut self, now: Millis, life: &Life, span: KeyRange, fence: u64, end: GrantEnd) {
-        let retry_at = now + Millis(self.timing.renew.0 / 4);
+    pub fn grant_finished(
+        &mut self,
+        now: Millis,
+        life: &Life,
+        span: KeyRange,
+        fence: u64,
+        end: GrantOutcome,
+    ) {
+        let retry_at = now + Millis(self.timing.renew_interval.0 / 4);
         let Some(state) = self.servers.get_mut(life) else {
             return;
         };
         state.pending_grant = None;
         let max_lease = KeyTiming::max_lease(state.lease_duration);
         match end {
-            GrantEnd::Held => {
+            GrantOutcome::Granted => {
                 // A server that accepted this fence refuses older grants, so grants of an earlier leader
                 // and grants whose answer was lost no longer count.
                 state.lease_until = state.outage_lease_until.max(now + max_lease);
                 state.unanswered_since = None;
                 if fence == self.record.fence {
-                    state.confirm(now + self.timing.renew, span);
+                    state.confirm(now + self.timing.renew_interval, span);
                 }
             }
-            GrantEnd::FenceOld => self.deposed = true,
-            GrantEnd::OtherServer => self.ended(&life.clone()),
-            GrantEnd::Silent => {
+            GrantOutcome::StaleFence => self.deposed = true,
+            GrantOutcome::WrongServer => self.server_ended(&life.clone()),
+            GrantOutcome::NoAnswer => {
                 state.lease_until = state.lease_until.max(now + max_lease);
                 state.retry_at = retry_at;
                 state.unanswered_since.get_or_insert(now);
@@ -288,40 +295,46 @@
     }
 
     /// Records that a release was sent.
-    pub fn releasing(&mut self, life: &Life, span: KeyRange) {
+    pub fn release_sent(&mut self, life: &Life, span: KeyRange) {
         if let Some(state) = self.servers.get_mut(life) {
             state.pending_releases.push(span);
         }
     }
 
     /// Records the outcome of a release.
-    pub fn released(&mut self, now: Millis, life: &Life, span: KeyRange, end: ReleaseEnd) {
+    pub fn release_finished(
+        &mut self,
+        now: Millis,
+        life: &Life,
+        span: KeyRange,
+        end: ReleaseOutcome,
+    ) {
         let Some(state) = self.servers.get_mut(life) else {
             return;
         };
         if let Some(at) = state.pending_releases.iter().position(|s| *s == span) {
             state.pending_releases.swap_remove(at);
         }
-        if matches!(end, ReleaseEnd::Free(_)) {
+        if matches!(end, ReleaseOutcome::Released(_)) {
             state.unanswered_since = None;
         }
         match end {
             // The release carried a higher fence than every grant of these keys to this server, including
             // one whose answer was lost: the server refuses such a grant when it arrives late.
-            ReleaseEnd::Free(handover) => {
+            ReleaseOutcome::Released(handover) => {
                 let released = |c: &FormerLease| {
                     c.owned.owner == *life && c.owned.span.without(span).is_empty()
                 };
                 self.former_leases.retain(|c| !released(c));
                 self.released_keys.push(ReleasedKeys { span, handover });
             }
-            ReleaseEnd::OtherServer => self.ended(&life.clone()),
-            ReleaseEnd::Silent => {
+            ReleaseOutcome::WrongServer => self.server_ended(&life.clone()),
+            ReleaseOutcome::NoAnswer => {
                 // A server that keeps other keys must be renewed at once; one without keys can wait.
                 if state.assigned.is_empty() {
-                    state.retry_at = now + self.timing.probe;
+                    state.retry_at = now + self.timing.probe_interval;
                 }
-                self.retry_release(life, span, now + Millis(self.timing.renew.0 / 4));
+                self.retry_release(life, span, now + Millis(self.timing.renew_interval.0 / 4));
             }
         }
     }
--- a/crates/chicoryrail-ownership/src/keys/key_load.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_load.rs
@@ -53,7 +53,7 @@
 }
 
 impl DecayingCounts {
-    fn seen(&mut self, key: u16) {
+    fn record(&mut self, key: u16) {
         self.keys[usize::from(key)] += 1.0;
         self.total += 1.0;
     }
@@ -69,14 +69,14 @@
 
 impl KeyLoad {
     /// Records a request for a key.
-    pub fn seen(&mut self, key: u16) {
-        self.short.seen(key);
-        self.long.seen(key);
+    pub fn record(&mut self, key: u16) {
+        self.short.record(key);
+        self.long.record(key);
     }
 
     /// Decays the counts up to `now`. Does nothing if less than a quarter of the short half-life has
     /// passed.
-    pub fn age(&mut self, now: Millis) {
+    pub fn decay(&mut self, now: Millis) {
         let elapsed = now.since(self.decayed_at);
         if elapsed.0 < Window::Short.half_life().0 / 4 {
             return;
@@ -94,7 +94,7 @@
 
     /// Returns the load of a range over the long window, in requests.
     #[must_use]
-    pub fn of(&self, span: KeyRange) -> f64 {
+    pub fn range_load(&self, span: KeyRange) -> f64 {
         let keys = &self.long.keys[usize::from(span.first)..=usize::from(span.last)];
         keys.iter().map(|load| f64::from(*load)).sum()
     }
--- a/crates/chicoryrail-ownership/src/keys/key_view.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_view.rs
@@ -14,11 +14,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyOwner {
     /// The server holds the key.
-    Held(Life),
+    Granted(Life),
     /// The key is assigned to a server but not granted to it yet.
     Moving,
     /// The key is assigned to no server.
-    Nobody,
+    Unassigned,
 }
 
 /// Key owners of a service as known to this host.
@@ -38,7 +38,7 @@
 impl KeyView {
     /// Applies a record from the store or from the leader and returns `true`; returns `false` if its fence
     /// is not higher than that of the current one.
-    pub fn record(&mut self, now: Millis, record: KeyRecord) -> bool {
+    pub fn apply_record(&mut self, now: Millis, record: KeyRecord) -> bool {
         if record.fence <= self.record.fence {
             return false;
         }
@@ -49,7 +49,7 @@
 
     /// Applies the list of keys that the leader has not granted yet under a fence. An update with an older
     /// fence is ignored.
-    pub fn blocked(&mut self, fence: u64, blocked: Vec<KeyRange>) {
+    pub fn apply_blocked(&mut self, fence: u64, blocked: Vec<KeyRange>) {
         if fence >= self.blocked_fence {
             self.blocked_fence = fence;
             self.blocked = blocked;
@@ -64,13 +64,13 @@
 
     /// Returns the current record.
     #[must_use]
-    pub const fn record_in_force(&self) -> &KeyRecord {
+    pub const fn current_record(&self) -> &KeyRecord {
         &self.record
     }
 
     /// Returns the server that a key is assigned to, whether or not it has been granted.
     #[must_use]
-    pub fn meant(&self, key: u16) -> Option<&Life> {
+    pub fn assigned_owner(&self, key: u16) -> Option<&Life> {
         self.record.owner(key)
     }
 
@@ -78,10 +78,10 @@
     #[must_use]
     pub fn owner(&self, now: Millis, key: u16) -> KeyOwner {
         let Some(owner) = self.record.owner(key) else {
-            return KeyOwner::Nobody;
+            return KeyOwner::Unassigned;
         };
         let moving = if self.blocked_fence == self.record.fence {
-            self.blocked.iter().any(|s| s.has(key))
+            self.blocked.iter().any(|s| s.contains(key))
         } else {
             // A host that has just started knows no previous record: the current one may have been in force
             // for long.
@@ -91,7 +91,7 @@
         if moving {
             KeyOwner::Moving
         } else {
-            KeyOwner::Held(owner.clone())
+            KeyOwner::Granted(owner.clone())
         }
     }
 }
--- a/crates/chicoryrail-ownership/src/keys/mod.rs
+++ b/crates/chicoryrail-ownership/src/keys/mod.rs
@@ -18,15 +18,15 @@
 mod server_state;
 mod timing;
 
-pub use key_action::GrantEnd;
+pub use key_action::GrantOutcome;
 pub use key_action::KeyAction;
-pub use key_action::ReleaseEnd;
+pub use key_action::ReleaseOutcome;
 pub use key_leases::KeyLeases;
 pub use key_load::KeyLoad;
 pub use key_load::Window;
 pub use key_view::KeyOwner;
 pub use key_view::KeyView;
-pub use plan::Holder;
+pub use plan::KeyCandidate;
 pub use plan::Moves;
 pub use plan::Plan;
 pub use plan::split_key_space;
--- a/crates/chicoryrail-ownership/src/keys/plan.rs
+++ b/crates/chicoryrail-ownership/src/keys/plan.rs
@@ -35,7 +35,7 @@
 
 /// Server that may be given keys.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Holder {
+pub struct KeyCandidate {
     /// Server incarnation: the name and which start of the server it is.
     pub life: Life,
     /// Processing capacity relative to the other servers.
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Moves {
     /// No other moves.
-    Needed,
+    Required,
     /// Moves that relieve a server whose current load is far above its fair share.
     Urgent,
     /// Moves that balance the load.
@@ -70,7 +70,12 @@
     /// to a single key, that go to servers with spare load, if that takes enough load off overloaded
     /// servers.
     #[must_use]
-    pub fn of(record: &KeyRecord, candidates: &[Holder], load: &KeyLoad, moves: Moves) -> Self {
+    pub fn compute(
+        record: &KeyRecord,
+        candidates: &[KeyCandidate],
+        load: &KeyLoad,
+        moves: Moves,
+    ) -> Self {
         if candidates.is_empty() {
             return Self::Keep;
         }
@@ -79,7 +84,8 @@
         }
         let urgent = moves == Moves::Urgent;
         let membership_changed = has_membership_change(record, candidates);
-        if !membership_changed && (moves == Moves::Needed || load.total() < OBSERVED_REQUESTS_MIN) {
+        if !membership_changed && (moves == Moves::Required || load.total() < OBSERVED_REQUESTS_MIN)
+        {
             return Self::Keep;
         }
         let window = if urgent { Window::Short } else { Window::Long };
@@ -102,7 +108,7 @@
         assignment.admit_new(load_known);
         let deviations = if urgent { 0.0 } else { BALANCE_DEVIATIONS };
         let before = assignment.overload(FAIR_SHARE_MARGIN, deviations);
-        if load_known && (moves != Moves::Needed || membership_changed) {
+        if load_known && (moves != Moves::Required || membership_changed) {
             assignment.relieve_overloaded();
         }
         let improves =
@@ -116,7 +122,7 @@
 }
 
 /// Returns `true` if owners are no longer candidates, candidates own no keys, or keys have no owner.
-fn has_membership_change(record: &KeyRecord, candidates: &[Holder]) -> bool {
+fn has_membership_change(record: &KeyRecord, candidates: &[KeyCandidate]) -> bool {
     let lives: BTreeSet<&Life> = candidates.iter().map(|h| &h.life).collect();
     let owners: BTreeSet<&Life> = record.spans.iter().map(|s| &s.owner).collect();
     let keys: u32 = record.spans.iter().map(|s| s.span.len()).sum();
@@ -131,7 +137,7 @@
 
 /// Splits the whole key space into one range for each candidate, in their order, sized by weight and load.
 #[must_use]
-pub fn split_key_space(candidates: &[Holder], load: &KeyLoad) -> Vec<OwnedRange> {
+pub fn split_key_space(candidates: &[KeyCandidate], load: &KeyLoad) -> Vec<OwnedRange> {
     let weights: Vec<f64> = candidates.iter().map(|h| h.weight).collect();
     let (curve, unit_load) = LoadCurve::with_fair_load(&weights, load, Window::Long);
     let mut rest = KeyRange::ALL;
--- a/crates/chicoryrail-ownership/src/keys/record.rs
+++ b/crates/chicoryrail-ownership/src/keys/record.rs
@@ -56,7 +56,7 @@
 
     /// Returns `true` if the range contains the key.
     #[must_use]
-    pub const fn has(self, key: u16) -> bool {
+    pub const fn contains(self, key: u16) -> bool {
         self.first <= key && key <= self.last
     }
 
@@ -113,7 +113,7 @@
     pub fn owner(&self, key: u16) -> Option<&Life> {
         let at = self.spans.partition_point(|s| s.span.last < key);
         let span = self.spans.get(at)?;
-        span.span.has(key).then_some(&span.owner)
+        span.span.contains(key).then_some(&span.owner)
     }
 
     /// Returns the next record with the given owners and a fence one higher. Ranges that earlier owners may
--- a/crates/chicoryrail-ownership/src/keys/timing.rs
+++ b/crates/chicoryrail-ownership/src/keys/timing.rs
@@ -9,21 +9,21 @@
     ///
     /// The keys of a server lost without notice stay unserved until the end of its lease. A lost leader
     /// must be replaced within that time.
-    pub hold: Millis,
+    pub lease: Millis,
     /// Duration of a grant while every host reports the store as unavailable. A leader lost then can't be
     /// replaced, so the keys are served only as long as the grants last.
-    pub outage_hold: Millis,
+    pub outage_lease: Millis,
     /// Interval between renewals at one server.
-    pub renew: Millis,
+    pub renew_interval: Millis,
     /// Timeout of a grant call.
-    pub grant_limit: Millis,
+    pub grant_timeout: Millis,
     /// Timeout of a release call, which is answered when the work on the keys has ended.
-    pub release_limit: Millis,
+    pub release_timeout: Millis,
     /// Interval between probes of a lost server. Keys granted to a server that still does not answer are
     /// unserved until they are reassigned, so a server must answer a probe before it receives any.
-    pub probe: Millis,
+    pub probe_interval: Millis,
     /// Maximum time for which an earlier leader may keep renewing after another one has taken over.
-    pub stale_leader: Millis,
+    pub stale_leader_max: Millis,
 }
 
 impl Default for KeyTiming {
@@ -34,13 +34,13 @@
     /// renewals fit into it, so a lost renewal or a pause of one second causes no gap.
     fn default() -> Self {
         Self {
-            hold: Millis(2_500),
-            outage_hold: Millis(10_000),
-            renew: Millis(600),
-            grant_limit: Millis(300),
-            release_limit: Millis(1_000),
-            probe: Millis(1_500),
-            stale_leader: Millis(1_500),
+            lease: Millis(2_500),
+            outage_lease: Millis(10_000),
+            renew_interval: Millis(600),
+            grant_timeout: Millis(300),
+            release_timeout: Millis(1_000),
+            probe_interval: Millis(1_500),
+            stale_leader_max: Millis(1_500),
         }
     }
 }
--- a/crates/chicoryrail-ownership/src/lib.rs
+++ b/crates/chicoryrail-ownership/src/lib.rs
@@ -24,8 +24,8 @@
 
 pub use core_host::CoreHost;
 pub use core_host::is_strong;
-pub use core_host::joins_core;
+pub use core_host::should_join_core;
 pub use peers::HostState;
 pub use peers::Peers;
 pub use peers::SchedulerHost;
-pub use reach::Reach;
+pub use reach::DcReachability;
--- a/crates/chicoryrail-ownership/src/peers.rs
+++ b/crates/chicoryrail-ownership/src/peers.rs
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct HostState {
     /// Whether the store answers the host.
-    pub store: bool,
+    pub store_reachable: bool,
     /// Data centres whose servers answer the host.
-    pub reaches: BTreeSet<DcName>,
+    pub reachable_dcs: BTreeSet<DcName>,
     /// CPU capacity for leading and scheduling, in thousandths of a core.
     pub power: u32,
     /// Whether the host schedules requests for servers; a host that is stopping does not.
@@ -53,7 +53,7 @@
     /// Whether the host watches the store itself.
     pub watches: bool,
     /// Number of leaf hosts that follow the host.
-    pub leaves: u32,
+    pub leaf_hosts: u32,
 }
 
 /// Host that schedules the requests for a server.
@@ -81,13 +81,13 @@
             addr,
             last_seen: None,
             state: HostState {
-                store: false,
-                reaches: BTreeSet::new(),
+                store_reachable: false,
+                reachable_dcs: BTreeSet::new(),
                 power: 0,
                 schedules: false,
                 dc: None,
                 watches: false,
-                leaves: 0,
+                leaf_hosts: 0,
             },
             relay_failed_at: None,
         }
@@ -115,7 +115,7 @@
 impl Peers {
     /// Replaces the hosts with those listed in the store, without this one. Unlisted hosts with a heartbeat
     /// in the last 3 s are kept.
-    pub fn set(&mut self, now: Millis, hosts: Vec<(HostName, SocketAddr)>) {
+    pub fn set_listed(&mut self, now: Millis, hosts: Vec<(HostName, SocketAddr)>) {
         let old = std::mem::take(&mut self.hosts);
         for (name, addr) in hosts {
             let peer = match old.get(&name) {
@@ -133,36 +133,36 @@
         for (name, peer) in unlisted {
             self.hosts.entry(name).or_insert(peer);
         }
-        self.count(self.hosts.len() + 1);
+        self.update_max_hosts(self.hosts.len() + 1);
     }
 
     /// Raises the highest known number of hosts to `hosts`, which includes leaf hosts.
-    pub fn count(&mut self, hosts: usize) {
+    pub fn update_max_hosts(&mut self, hosts: usize) {
         self.hosts_max = self.hosts_max.max(hosts);
     }
 
     /// Returns the number of known hosts: the core hosts and the leaf hosts that follow them, `own` of
     /// which follow this host.
     #[must_use]
-    pub fn all_hosts(&self, now: Millis, own: u32) -> usize {
+    pub fn host_count(&self, now: Millis, own: u32) -> usize {
         let recent = self
             .hosts
             .values()
             .filter(|p| p.seen_within(now, HEARTBEAT_AGE_MAX));
-        let leaves: u32 = recent.map(|p| p.state.leaves).sum();
+        let leaves: u32 = recent.map(|p| p.state.leaf_hosts).sum();
         self.hosts.len() + 1 + (leaves + own) as usize
     }
 
     /// Returns the number of hosts that share a global limit: the highest number ever known, since a host
     /// without heartbeats may still send requests.
     #[must_use]
-    pub fn sharing(&self) -> usize {
+    pub fn sharing_hosts(&self) -> usize {
         self.hosts_max.max(SHARING_HOSTS_MIN)
     }
 
     /// Returns the number of core hosts, including this one.
     #[must_use]
-    pub fn schedulers_count(&self) -> usize {
+    pub fn core_host_count(&self) -> usize {
         self.hosts.len() + 1
     }
 
@@ -216,7 +216,7 @@
     /// Returns a hash of the hosts that schedule, which changes when one joins, leaves or changes its
     /// power.
     #[must_use]
-    pub fn schedulers_mark(&self, now: Millis) -> u64 {
+    pub fn schedulers_hash(&self, now: Millis) -> u64 {
         let mut hasher = SipHasher13::new();
         for (host, peer) in self.schedulers(now) {
             (host, peer.state.power).hash(&mut hasher);
@@ -231,7 +231,7 @@
     }
 
     /// Records that the host at `addr` did not answer: it counts as lost until its next heartbeat.
-    pub fn silent(&mut self, addr: SocketAddr) {
+    pub fn mark_unreachable(&mut self, addr: SocketAddr) {
         for peer in self.hosts.values_mut().filter(|p| p.addr == addr) {
             peer.last_seen = None;
         }
@@ -239,37 +239,46 @@
 
     /// Records the state that a host at `addr` advertises. It counts even if the store does not list the
     /// host yet; otherwise hosts that start together would not know each other until the list is next read.
-    pub fn heard(&mut self, now: Millis, host: &HostName, addr: SocketAddr, state: HostState) {
+    pub fn record_heartbeat(
+        &mut self,
+        now: Millis,
+        host: &HostName,
+        addr: SocketAddr,
+        state: HostState,
+    ) {
         let peer = self.hosts.entry(host.clone());
         let peer = peer.or_insert_with(|| Peer::new(addr));
         peer.addr = addr;
         peer.last_seen = Some(now);
         peer.state = state;
-        self.count(self.hosts.len() + 1);
+        self.update_max_hosts(self.hosts.len() + 1);
     }
 
     /// Returns `true` if another host that the store answers reaches `dc` and all of `own_dcs`.
     #[must_use]
     pub fn any_reaches_all(&self, now: Millis, own_dcs: &BTreeSet<DcName>, dc: &DcName) -> bool {
-        let all =
-            |p: &HostState| p.store && p.reaches.contains(dc) && p.reaches.is_superset(own_dcs);
+        let all = |p: &HostState| {
+            p.store_reachable
+                && p.reachable_dcs.contains(dc)
+                && p.reachable_dcs.is_superset(own_dcs)
+        };
         self.recent_states(now).any(all)
     }
 
     /// Returns `true` if another host reaches more data centres than there are in `own_dcs`.
     #[must_use]
-    pub fn reach_more(&self, now: Millis, own_dcs: &BTreeSet<DcName>) -> bool {
+    pub fn any_reaches_more(&self, now: Millis, own_dcs: &BTreeSet<DcName>) -> bool {
         self.recent_states(now)
-            .any(|p| p.reaches.len() > own_dcs.len())
+            .any(|p| p.reachable_dcs.len() > own_dcs.len())
     }
 
     /// Returns `true` if a much stronger host than one with `power` should lead: the store answers it and
     /// it reaches all of `own_dcs`. A host that reaches fewer data centres would soon have to step down again.
     #[must_use]
-    pub fn stronger(&self, now: Millis, power: u32, own_dcs: &BTreeSet<DcName>) -> bool {
+    pub fn has_stronger_peer(&self, now: Millis, power: u32, own_dcs: &BTreeSet<DcName>) -> bool {
         let fit = |p: &HostState| {
             let strong = p.power >= power.saturating_mul(SUCCESSOR_POWER_FACTOR);
-            p.store && strong && p.reaches.is_superset(own_dcs)
+            p.store_reachable && strong && p.reachable_dcs.is_superset(own_dcs)
         };
         self.recent_states(now).any(fit)
     }
@@ -286,18 +295,18 @@
     /// host without a recent heartbeat may still reach the store.
     #[must_use]
     pub fn all_lost_store(&self, now: Millis) -> bool {
-        let lost = |p: &Peer| !p.state.store && p.seen_within(now, HEARTBEAT_AGE_MAX);
+        let lost = |p: &Peer| !p.state.store_reachable && p.seen_within(now, HEARTBEAT_AGE_MAX);
         self.hosts.values().all(lost)
     }
 
     /// Records a heartbeat that the leader itself sent.
-    pub fn heard_leader(&mut self, now: Millis) {
+    pub fn record_leader_seen(&mut self, now: Millis) {
         self.leader_seen = self.leader_seen.max(Some(now));
     }
 
     /// Returns `true` if a leader's heartbeat is at most `age` old.
     #[must_use]
-    pub fn hears_leader(&self, now: Millis, age: Millis) -> bool {
+    pub fn leader_seen_within(&self, now: Millis, age: Millis) -> bool {
         self.leader_seen.is_some_and(|at| now.since(at) <= age)
     }
 
@@ -314,7 +323,7 @@
     }
 
     /// Iterates over the other hosts with a recent heartbeat: name, address and advertised state.
-    pub fn heard_lately(
+    pub fn recent_peers(
         &self,
         now: Millis,
     ) -> impl Iterator<Item = (&HostName, SocketAddr, &HostState)> {
@@ -325,7 +334,7 @@
 
     /// Records a term of leadership with its leader, if known. Returns `true` if the term is higher than
     /// any before; ignores lower terms.
-    pub fn term(&mut self, term: u64, leader: Option<&HostName>) -> bool {
+    pub fn observe_term(&mut self, term: u64, leader: Option<&HostName>) -> bool {
         if term < self.term {
             return false;
         }
@@ -348,7 +357,7 @@
     /// Returns `true` if more than half of all core hosts, including this one, have a heartbeat at most
     /// `age` old.
     #[must_use]
-    pub fn hears_most(&self, now: Millis, age: Millis) -> bool {
+    pub fn majority_seen_within(&self, now: Millis, age: Millis) -> bool {
         let recent = self.hosts.values().filter(|p| p.seen_within(now, age));
         let recent = recent.count() + 1;
         recent * 2 > self.hosts.len() + 1
--- a/crates/chicoryrail-ownership/src/reach.rs
+++ b/crates/chicoryrail-ownership/src/reach.rs
@@ -23,13 +23,13 @@
 
 /// Time of the last answer from each data centre.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
+pub struct DcReachability {
     last_answers: BTreeMap<DcName, Millis>,
 }
 
-impl Reach {
+impl DcReachability {
     /// Records an answer from a server in `dc`.
-    pub fn answered(&mut self, now: Millis, dc: &DcName) {
+    pub fn record_answer(&mut self, now: Millis, dc: &DcName) {
         match self.last_answers.get_mut(dc) {
             Some(last) => *last = now,
             None => {
@@ -40,7 +40,7 @@
 
     /// Returns the data centres that answered within the last 600 ms.
     #[must_use]
-    pub fn lately(&self, now: Millis) -> BTreeSet<DcName> {
+    pub fn reachable_dcs(&self, now: Millis) -> BTreeSet<DcName> {
         let recent = self.last_answers.iter();
         let recent = recent.filter(|(_, at)| now.since(**at) <= ANSWER_AGE_MAX);
         recent.map(|(dc, _)| dc.clone()).collect()
@@ -54,7 +54,7 @@
     /// consider the other's servers lost and reassign their keys, although callers elsewhere can reach
     /// them.
     #[must_use]
-    pub fn out_of_reach<'a>(
+    pub fn find_unreachable_dc<'a>(
         &self,
         now: Millis,
         servers: impl Iterator<Item = (&'a DcName, Option<Millis>)>,
@@ -66,7 +66,7 @@
             *count += 1;
             *all_silent &= since.is_some_and(|at| now.since(at) >= SILENCE_MIN);
         }
-        let reached = self.lately(now);
+        let reached = self.reachable_dcs(now);
         let lost = by_dc
             .into_iter()
             .filter(|(_, (count, all_silent))| *all_silent && *count >= SILENT_SERVERS_MIN);
--- a/crates/chicoryrail-ownership/src/watchers.rs
+++ b/crates/chicoryrail-ownership/src/watchers.rs
@@ -50,8 +50,8 @@
             state: &peer.state,
         });
         let mut all: Vec<Candidate<'_>> = others.chain([Candidate { name, state }]).collect();
-        if all.iter().any(|c| c.state.store) {
-            all.retain(|c| c.state.store);
+        if all.iter().any(|c| c.state.store_reachable) {
+            all.retain(|c| c.state.store_reachable);
         }
         let leader = self.leader.as_ref();
         all.sort_by(|a, b| {
@@ -64,7 +64,7 @@
     /// Returns the address of a watching host from which a core host receives the content of the store; one
     /// in the same data centre if possible.
     #[must_use]
-    pub fn watcher_for(&self, now: Millis, name: &HostName, dc: &DcName) -> Option<SocketAddr> {
+    pub fn select_watcher(&self, now: Millis, name: &HostName, dc: &DcName) -> Option<SocketAddr> {
         let watchers = self.schedulers(now);
         self.select_relay(now, name, dc, watchers.filter(|(_, p)| p.state.watches))
     }
@@ -72,13 +72,18 @@
     /// Returns the address of the core host that a leaf host follows: one with a recent heartbeat, or any
     /// listed host if there is none.
     #[must_use]
-    pub fn core_for(&self, now: Millis, name: &HostName, dc: &DcName) -> Option<SocketAddr> {
+    pub fn select_core_host(
+        &self,
+        now: Millis,
+        name: &HostName,
+        dc: &DcName,
+    ) -> Option<SocketAddr> {
         let recent = self.select_relay(now, name, dc, self.schedulers(now));
         recent.or_else(|| self.select_relay(now, name, dc, self.hosts.iter()))
     }
 
     /// Records that a host failed to relay.
-    pub fn relay_failed(&mut self, now: Millis, addr: SocketAddr) {
+    pub fn record_relay_failure(&mut self, now: Millis, addr: SocketAddr) {
         for peer in self.hosts.values_mut().filter(|p| p.addr == addr) {
             peer.relay_failed_at = Some(now);
         }
@@ -101,7 +106,7 @@
         let scored = usable.map(|(host, p)| {
             let near = p.state.dc.as_ref() == Some(dc);
             let score = rendezvous_score(host, p.state.power, &(RELAY_HASH_TAG, name));
-            ((p.state.store, near, score), p.addr)
+            ((p.state.store_reachable, near, score), p.addr)
         });
         let best = scored.max_by(|(a, _), (b, _)| {
             let by_class = (a.0, a.1).cmp(&(b.0, b.1));
--- a/crates/chicoryrail-ownership/tests/key_leases.rs
+++ b/crates/chicoryrail-ownership/tests/key_leases.rs
@@ -3,14 +3,14 @@
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
 use chicoryrail_core::ServerName;
-use chicoryrail_ownership::keys::GrantEnd;
+use chicoryrail_ownership::keys::GrantOutcome;
 use chicoryrail_ownership::keys::KeyAction;
 use chicoryrail_ownership::keys::KeyLeases;
 use chicoryrail_ownership::keys::KeyRange;
 use chicoryrail_ownership::keys::KeyRecord;
 use chicoryrail_ownership::keys::KeyTiming;
 use chicoryrail_ownership::keys::OwnedRange;
-use chicoryrail_ownership::keys::ReleaseEnd;
+use chicoryrail_ownership::keys::ReleaseOutcome;
 
 fn life(name: &str) -> Life {
     Life::new(ServerName::new(name), 1)
@@ -29,26 +29,26 @@
         1,
         false,
     );
-    leases.committed(Millis(0));
+    leases.record_written(Millis(0));
     for name in ["a", "b"] {
-        leases.server_at(Millis(0), &life(name), ([127, 0, 0, 1], 80).into());
+        leases.set_server_addr(Millis(0), &life(name), ([127, 0, 0, 1], 80).into());
     }
-    leases.change(vec![OwnedRange::new(KeyRange::ALL, life("a"))], 2);
-    leases.committed(Millis(0));
+    leases.begin_change(vec![OwnedRange::new(KeyRange::ALL, life("a"))], 2);
+    leases.record_written(Millis(0));
     confirm_grant(&mut leases, Millis(1), "a", KeyRange::ALL);
     let spans = vec![
         OwnedRange::new(span(0, 29_999), life("a")),
         OwnedRange::new(span(30_000, 65_535), life("b")),
     ];
-    leases.change(spans, 3);
-    leases.committed(Millis(10));
+    leases.begin_change(spans, 3);
+    leases.record_written(Millis(10));
     leases
 }
 
 fn confirm_grant(leases: &mut KeyLeases, now: Millis, name: &str, span: KeyRange) {
     let fence = leases.record().fence;
-    leases.granting(now, &life(name), span);
-    leases.granted(now, &life(name), span, fence, GrantEnd::Held);
+    leases.grant_sent(now, &life(name), span);
+    leases.grant_finished(now, &life(name), span, fence, GrantOutcome::Granted);
 }
 
 fn grants(actions: &[KeyAction], name: &str) -> Vec<KeyRange> {
@@ -72,16 +72,16 @@
 #[test]
 fn a_move_releases_then_grants() {
     let mut leases = moving_half_to_b();
-    let first = leases.due(Millis(10));
+    let first = leases.due_actions(Millis(10));
     assert_eq!(releases(&first), [span(30_000, 65_535)]);
     assert!(grants(&first, "b").is_empty());
-    assert_eq!(leases.blocked(), [span(30_000, 65_535)]);
-    leases.releasing(&life("a"), span(30_000, 65_535));
-    let second = leases.due(Millis(20));
+    assert_eq!(leases.ungranted_keys(), [span(30_000, 65_535)]);
+    leases.release_sent(&life("a"), span(30_000, 65_535));
+    let second = leases.due_actions(Millis(20));
     assert!(grants(&second, "b").is_empty() && releases(&second).is_empty());
-    let free = ReleaseEnd::Free(Some("token".to_owned()));
-    leases.released(Millis(30), &life("a"), span(30_000, 65_535), free);
-    let third = leases.due(Millis(30));
+    let free = ReleaseOutcome::Released(Some("token".to_owned()));
+    leases.release_finished(Millis(30), &life("a"), span(30_000, 65_535), free);
+    let third = leases.due_actions(Millis(30));
     assert_eq!(grants(&third, "b"), [span(30_000, 65_535)]);
     let has_handover = third.iter().any(|d| {
         matches!(
@@ -100,12 +100,15 @@
 #[test]
 fn a_release_under_way_does_not_delay_renewals() {
     let mut leases = moving_half_to_b();
-    assert_eq!(releases(&leases.due(Millis(10))).len(), 1);
-    leases.releasing(&life("a"), span(30_000, 65_535));
-    assert!(grants(&leases.due(Millis(500)), "a").is_empty());
-    assert_eq!(grants(&leases.due(Millis(610)), "a"), [span(0, 29_999)]);
+    assert_eq!(releases(&leases.due_actions(Millis(10))).len(), 1);
+    leases.release_sent(&life("a"), span(30_000, 65_535));
+    assert!(grants(&leases.due_actions(Millis(500)), "a").is_empty());
+    assert_eq!(
+        grants(&leases.due_actions(Millis(610)), "a"),
+        [span(0, 29_999)]
+    );
     confirm_grant(&mut leases, Millis(620), "a", span(0, 29_999));
-    assert!(releases(&leases.due(Millis(620))).is_empty());
+    assert!(releases(&leases.due_actions(Millis(620))).is_empty());
 }
 
 /// A renewal of all keys of a server is in flight when half of them are reassigned. Guards against the
@@ -113,11 +116,17 @@
 #[test]
 fn no_release_overtakes_a_renewal() {
     let mut leases = moving_half_to_b();
-    leases.granting(Millis(10), &life("a"), KeyRange::ALL);
-    assert!(releases(&leases.due(Millis(10))).is_empty());
+    leases.grant_sent(Millis(10), &life("a"), KeyRange::ALL);
+    assert!(releases(&leases.due_actions(Millis(10))).is_empty());
     let fence = leases.record().fence - 1;
-    leases.granted(Millis(20), &life("a"), KeyRange::ALL, fence, GrantEnd::Held);
-    assert_eq!(releases(&leases.due(Millis(20))).len(), 1);
+    leases.grant_finished(
+        Millis(20),
+        &life("a"),
+        KeyRange::ALL,
+        fence,
+        GrantOutcome::Granted,
+    );
+    assert_eq!(releases(&leases.due_actions(Millis(20))).len(), 1);
 }
 
 /// Keys that are being released by `a` are reassigned to `a`. Guards against a grant before the release is
@@ -125,13 +134,16 @@
 #[test]
 fn no_grant_overtakes_a_release() {
     let mut leases = moving_half_to_b();
-    leases.releasing(&life("a"), span(30_000, 65_535));
-    leases.change(vec![OwnedRange::new(KeyRange::ALL, life("a"))], 4);
-    leases.committed(Millis(20));
-    assert!(grants(&leases.due(Millis(20)), "a").is_empty());
-    let free = ReleaseEnd::Free(None);
-    leases.released(Millis(30), &life("a"), span(30_000, 65_535), free);
-    assert_eq!(grants(&leases.due(Millis(30)), "a"), [span(30_000, 65_535)]);
+    leases.release_sent(&life("a"), span(30_000, 65_535));
+    leases.begin_change(vec![OwnedRange::new(KeyRange::ALL, life("a"))], 4);
+    leases.record_written(Millis(20));
+    assert!(grants(&leases.due_actions(Millis(20)), "a").is_empty());
+    let free = ReleaseOutcome::Released(None);
+    leases.release_finished(Millis(30), &life("a"), span(30_000, 65_535), free);
+    assert_eq!(
+        grants(&leases.due_actions(Millis(30)), "a"),
+        [span(30_000, 65_535)]
+    );
 }
 
 /// A server owns two ranges that are not adjacent, and a part of one is reassigned. Guards against losing
@@ -147,26 +159,30 @@
             OwnedRange::new(span(split + 1, 65_535), life("b")),
         ]
     };
-    leases.change(spans(49_999), 4);
-    leases.committed(Millis(20));
+    leases.begin_change(spans(49_999), 4);
+    leases.record_written(Millis(20));
     // Keys that stay with `a` remain confirmed; keys that `a` gets back are loose only for `a` itself.
     let listed = leases.record().spans.iter().any(|s| s.owner == life("a"));
     assert!(listed);
     confirm_grant(&mut leases, Millis(30), "a", span(0, 9_999));
     confirm_grant(&mut leases, Millis(31), "a", span(40_000, 49_999));
-    let due = leases.due(Millis(640));
+    let due = leases.due_actions(Millis(640));
     assert_eq!(grants(&due, "a"), [span(0, 9_999)]);
     confirm_grant(&mut leases, Millis(641), "a", span(0, 9_999));
     assert_eq!(
-        grants(&leases.due(Millis(641)), "a"),
+        grants(&leases.due_actions(Millis(641)), "a"),
         [span(40_000, 49_999)]
     );
     confirm_grant(&mut leases, Millis(642), "a", span(40_000, 49_999));
-    leases.change(spans(44_999), 5);
-    leases.committed(Millis(650));
-    let blocked = leases.blocked();
-    assert!(blocked.iter().all(|s| !s.has(44_999) && !s.has(5_000)));
-    assert!(blocked.iter().any(|s| s.has(45_000)));
+    leases.begin_change(spans(44_999), 5);
+    leases.record_written(Millis(650));
+    let blocked = leases.ungranted_keys();
+    assert!(
+        blocked
+            .iter()
+            .all(|s| !s.contains(44_999) && !s.contains(5_000))
+    );
+    assert!(blocked.iter().any(|s| s.contains(45_000)));
 }
 
 /// The former owner is unreachable. Guards against granting its keys before its lease has certainly
@@ -175,17 +191,20 @@
 fn keys_of_an_unreachable_owner_wait_for_its_lease() {
     let mut leases = moving_half_to_b();
     for now in (30..2_530).step_by(100) {
-        leases.releasing(&life("a"), span(30_000, 65_535));
-        leases.released(
+        leases.release_sent(&life("a"), span(30_000, 65_535));
+        leases.release_finished(
             Millis(now),
             &life("a"),
             span(30_000, 65_535),
-            ReleaseEnd::Silent,
+            ReleaseOutcome::NoAnswer,
+        );
+        assert!(
+            grants(&leases.due_actions(Millis(now)), "b").is_empty(),
+            "at {now}"
         );
-        assert!(grants(&leases.due(Millis(now)), "b").is_empty(), "at {now}");
     }
     assert_eq!(
-        grants(&leases.due(Millis(2_600)), "b"),
+        grants(&leases.due_actions(Millis(2_600)), "b"),
         [span(30_000, 65_535)]
     );
 }
@@ -196,19 +215,22 @@
 #[test]
 fn a_cleaned_record_lists_no_former_owners() {
     let mut leases = moving_half_to_b();
-    leases.releasing(&life("a"), span(30_000, 65_535));
-    let free = ReleaseEnd::Free(None);
-    leases.released(Millis(30), &life("a"), span(30_000, 65_535), free);
-    assert!(leases.is_untidy());
+    leases.release_sent(&life("a"), span(30_000, 65_535));
+    let free = ReleaseOutcome::Released(None);
+    leases.release_finished(Millis(30), &life("a"), span(30_000, 65_535), free);
+    assert!(leases.has_stale_former_owners());
     let spans = leases.record().spans.clone();
-    leases.change(spans, 5);
-    leases.committed(Millis(40));
-    assert!(!leases.is_untidy());
+    leases.begin_change(spans, 5);
+    leases.record_written(Millis(40));
+    assert!(!leases.has_stale_former_owners());
     let record = leases.record().clone();
     let mut next = KeyLeases::take_over(record, KeyTiming::default(), Millis(0), 6, true);
     for name in ["a", "b"] {
-        next.server_at(Millis(0), &life(name), ([127, 0, 0, 1], 80).into());
+        next.set_server_addr(Millis(0), &life(name), ([127, 0, 0, 1], 80).into());
     }
-    next.committed(Millis(0));
-    assert_eq!(grants(&next.due(Millis(1)), "b"), [span(30_000, 65_535)]);
+    next.record_written(Millis(0));
+    assert_eq!(
+        grants(&next.due_actions(Millis(1)), "b"),
+        [span(30_000, 65_535)]
+    );
 }
--- a/crates/chicoryrail-ownership/tests/key_plan.rs
+++ b/crates/chicoryrail-ownership/tests/key_plan.rs
@@ -4,7 +4,7 @@
 
 use chicoryrail_core::Life;
 use chicoryrail_core::ServerName;
-use chicoryrail_ownership::keys::Holder;
+use chicoryrail_ownership::keys::KeyCandidate;
 use chicoryrail_ownership::keys::KeyLoad;
 use chicoryrail_ownership::keys::KeyRange;
 use chicoryrail_ownership::keys::KeyRecord;
@@ -17,8 +17,8 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-fn candidates(n: usize) -> Vec<Holder> {
-    let candidate = |i| Holder {
+fn candidates(n: usize) -> Vec<KeyCandidate> {
+    let candidate = |i| KeyCandidate {
         life: Life::new(ServerName::new(&format!("s{i:02}")), 1),
         weight: 1.0,
     };
@@ -31,8 +31,8 @@
     let mut load = KeyLoad::default();
     for _ in 0..600 {
         let offset: f64 = rng.random();
-        load.seen((60_000.0 + 5_000.0 * offset.powi(2)) as u16);
-        load.seen(rng.random());
+        load.record((60_000.0 + 5_000.0 * offset.powi(2)) as u16);
+        load.record(rng.random());
     }
     load
 }
@@ -49,7 +49,7 @@
 fn busiest_load(spans: &[OwnedRange], load: &KeyLoad) -> f64 {
     let mut loads: BTreeMap<&Life, f64> = BTreeMap::new();
     for owned in spans {
-        *loads.entry(&owned.owner).or_default() += load.of(owned.span);
+        *loads.entry(&owned.owner).or_default() += load.range_load(owned.span);
     }
     let most = loads.values().copied().fold(0.0, f64::max);
     most * loads.len() as f64 / load.total()
@@ -91,7 +91,7 @@
     all[1].weight = 0.5;
     let load = skewed_load(2);
     let planned = split_key_space(&all, &load);
-    let share = load.of(planned[1].span) / load.total();
+    let share = load.range_load(planned[1].span) / load.total();
     assert!((0.10..0.19).contains(&share), "{share}");
 }
 
@@ -100,13 +100,14 @@
 #[test]
 fn one_overloaded_key_does_not_hide_other_imbalance() {
     let mut load = skewed_load(3);
-    (0..900).for_each(|_| load.seen(9_000));
+    (0..900).for_each(|_| load.record(9_000));
     let before = record(split_key_space(&candidates(12), &KeyLoad::default()));
-    let Plan::Change(planned) = Plan::of(&before, &candidates(12), &load, Moves::Balance) else {
+    let Plan::Change(planned) = Plan::compute(&before, &candidates(12), &load, Moves::Balance)
+    else {
         panic!("the plan keeps the assignment");
     };
-    let others = planned.iter().filter(|s| !s.span.has(9_000));
-    let most = others.map(|s| load.of(s.span)).fold(0.0, f64::max);
+    let others = planned.iter().filter(|s| !s.span.contains(9_000));
+    let most = others.map(|s| load.range_load(s.span)).fold(0.0, f64::max);
     assert!(
         most < load.total() / 12.0 * 1.4,
         "{most} of {}",
@@ -128,7 +129,7 @@
         .into_iter()
         .filter(|h| !h.life.name.as_str().ends_with("09"))
         .collect();
-    let Plan::Change(planned) = Plan::of(&before, &left, &load, Moves::Needed) else {
+    let Plan::Change(planned) = Plan::compute(&before, &left, &load, Moves::Required) else {
         panic!("the plan keeps the assignment");
     };
     assert!(covers_all(&planned));
@@ -144,7 +145,7 @@
 fn an_even_load_moves_nothing() {
     let before = record(split_key_space(&candidates(12), &skewed_load(5)));
     for seed in 5..25 {
-        let plan = Plan::of(&before, &candidates(12), &skewed_load(seed), Moves::Balance);
+        let plan = Plan::compute(&before, &candidates(12), &skewed_load(seed), Moves::Balance);
         assert_eq!(plan, Plan::Keep, "seed {seed}");
     }
 }
@@ -154,8 +155,12 @@
 #[test]
 fn a_new_server_takes_keys_from_one_server_only() {
     let before = record(split_key_space(&candidates(4), &KeyLoad::default()));
-    let Plan::Change(spans) = Plan::of(&before, &candidates(5), &KeyLoad::default(), Moves::Needed)
-    else {
+    let Plan::Change(spans) = Plan::compute(
+        &before,
+        &candidates(5),
+        &KeyLoad::default(),
+        Moves::Required,
+    ) else {
         panic!("the plan keeps the assignment");
     };
     assert!(covers_all(&spans));
@@ -196,7 +201,7 @@
     let before = split_key_space(&candidates(80), &load);
     let middle = before[40].span;
     for i in 0..busy {
-        load.seen(middle.first + (i % middle.len()) as u16);
+        load.record(middle.first + (i % middle.len()) as u16);
     }
     let mut all = candidates(88);
     if servers < 80 {
@@ -206,7 +211,7 @@
             .collect();
     }
     all.truncate(servers);
-    let Plan::Change(planned) = Plan::of(&record(before.clone()), &all, &load, Moves::Balance)
+    let Plan::Change(planned) = Plan::compute(&record(before.clone()), &all, &load, Moves::Balance)
     else {
         panic!("the plan keeps the assignment");
     };
@@ -224,6 +229,6 @@
 fn even_load(seed: u64) -> KeyLoad {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut load = KeyLoad::default();
-    (0..8_000).for_each(|_| load.seen(rng.random()));
+    (0..8_000).for_each(|_| load.record(rng.random()));
     load
 }
--- a/crates/chicoryrail-ownership/tests/key_plan_size.rs
+++ b/crates/chicoryrail-ownership/tests/key_plan_size.rs
@@ -2,7 +2,7 @@
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
-use chicoryrail_ownership::keys::Holder;
+use chicoryrail_ownership::keys::KeyCandidate;
 use chicoryrail_ownership::keys::KeyLoad;
 use chicoryrail_ownership::keys::KeyRecord;
 use chicoryrail_ownership::keys::Moves;
@@ -20,7 +20,7 @@
 
 /// A service under load, with a leader that plans its key ranges.
 struct Service {
-    candidates: Vec<Holder>,
+    candidates: Vec<KeyCandidate>,
     load: KeyLoad,
     record: KeyRecord,
     /// Requests per second.
@@ -36,14 +36,14 @@
 impl Service {
     /// Builds a service whose load is half of its servers' capacity.
     fn new(servers: usize, seed: u64) -> Self {
-        let candidates = (0..servers).map(|i| Holder {
+        let candidates = (0..servers).map(|i| KeyCandidate {
             life: Life {
                 name: format!("s{i:03}").as_str().into(),
                 born: 1,
             },
             weight: 2.0 / [0.7, 0.7, 1.6][i % 3],
         });
-        let candidates: Vec<Holder> = candidates.collect();
+        let candidates: Vec<KeyCandidate> = candidates.collect();
         let weight: f64 = candidates.iter().map(|h| h.weight).sum();
         Self {
             candidates,
@@ -68,15 +68,16 @@
                 } else {
                     self.rng.random()
                 };
-                self.load.seen(key);
+                self.load.record(key);
             }
-            self.load.age(now);
+            self.load.decay(now);
             let moves = match now.since(self.changed_at).0 {
                 2_500.. => Moves::Balance,
                 400.. => Moves::Urgent,
-                _ => Moves::Needed,
+                _ => Moves::Required,
             };
-            if let Plan::Change(spans) = Plan::of(&self.record, &self.candidates, &self.load, moves)
+            if let Plan::Change(spans) =
+                Plan::compute(&self.record, &self.candidates, &self.load, moves)
             {
                 self.changed_at = now;
                 self.plans += 1;
--- a/crates/chicoryrail-ownership/tests/model_keys/calls.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/calls.rs
@@ -2,8 +2,8 @@
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
-use chicoryrail_ownership::keys::GrantEnd;
-use chicoryrail_ownership::keys::ReleaseEnd;
+use chicoryrail_ownership::keys::GrantOutcome;
+use chicoryrail_ownership::keys::ReleaseOutcome;
 use rand::Rng;
 
 use crate::server::CallKind;
@@ -101,19 +101,19 @@
         match call.kind {
             CallKind::Grant { span, fence, .. } => {
                 let end = match (answered, call.refused) {
-                    (false, _) => GrantEnd::Silent,
-                    (true, true) => GrantEnd::FenceOld,
-                    (true, false) => GrantEnd::Held,
+                    (false, _) => GrantOutcome::NoAnswer,
+                    (true, true) => GrantOutcome::StaleFence,
+                    (true, false) => GrantOutcome::Granted,
                 };
-                leases.granted(now, &call.life, span, fence, end);
+                leases.grant_finished(now, &call.life, span, fence, end);
             }
             CallKind::Release { span, .. } => {
                 let end = if answered {
-                    ReleaseEnd::Free(Some("token".to_owned()))
+                    ReleaseOutcome::Released(Some("token".to_owned()))
                 } else {
-                    ReleaseEnd::Silent
+                    ReleaseOutcome::NoAnswer
                 };
-                leases.released(now, &call.life, span, end);
+                leases.release_finished(now, &call.life, span, end);
             }
         }
     }
--- a/crates/chicoryrail-ownership/tests/model_keys/leading.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/leading.rs
@@ -1,8 +1,8 @@
 //! One step of the simulated leaders.
 
 use chicoryrail_core::Millis;
-use chicoryrail_ownership::keys::Holder;
 use chicoryrail_ownership::keys::KeyAction;
+use chicoryrail_ownership::keys::KeyCandidate;
 use chicoryrail_ownership::keys::KeyLoad;
 use chicoryrail_ownership::keys::Moves;
 use chicoryrail_ownership::keys::Plan;
@@ -24,45 +24,45 @@
             let registered = self.servers.iter().filter(|s| s.up);
             let registered: Vec<_> = registered.map(|s| (s.life.clone(), s.leaving)).collect();
             let leader = &mut self.leaders[i];
-            leader.leases.store_away(self.store_down);
-            let owners = leader.leases.named();
+            leader.leases.set_store_down(self.store_down);
+            let owners = leader.leases.lease_owners();
             for (life, _) in &registered {
                 leader
                     .leases
-                    .server_at(now, life, ([127, 0, 0, 1], 80).into());
+                    .set_server_addr(now, life, ([127, 0, 0, 1], 80).into());
                 for old in owners.iter().filter(|old| life.succeeds(old)) {
-                    leader.leases.ended(old);
+                    leader.leases.server_ended(old);
                 }
             }
-            if !leader.leases.is_writing() {
+            if !leader.leases.is_write_pending() {
                 let accepting = registered
                     .iter()
                     .filter(|(l, leaving)| !*leaving && !leader.leases.is_lost(now, l));
                 let mut candidates: Vec<_> = accepting
-                    .map(|(life, _)| Holder {
+                    .map(|(life, _)| KeyCandidate {
                         life: life.clone(),
                         weight: 1.0,
                     })
                     .collect();
                 candidates.sort_by(|a, b| a.life.cmp(&b.life));
-                let unchanged = !leader.leases.is_changing();
+                let unchanged = !leader.leases.has_pending_change();
                 let balance = unchanged && faults_active(self.now) && self.rng.random_bool(0.01);
                 let mut load = KeyLoad::default();
                 if balance {
                     let first_busy: u16 = self.rng.random();
-                    (0..200).for_each(|i| load.seen(first_busy.wrapping_add(i)));
+                    (0..200).for_each(|i| load.record(first_busy.wrapping_add(i)));
                 }
                 let moves = match (balance, self.rng.random_bool(0.5)) {
                     (true, true) => Moves::Urgent,
                     (true, false) => Moves::Balance,
-                    (false, _) => Moves::Needed,
+                    (false, _) => Moves::Required,
                 };
-                let plan = Plan::of(leader.leases.record(), &candidates, &load, moves);
+                let plan = Plan::compute(leader.leases.record(), &candidates, &load, moves);
                 if let Plan::Change(spans) = plan {
-                    leader.leases.change(spans, self.rng.random());
+                    leader.leases.begin_change(spans, self.rng.random());
                 }
             }
-            let actions = leader.leases.due(now);
+            let actions = leader.leases.due_actions(now);
             for action in actions {
                 self.execute(i, action);
             }
@@ -82,21 +82,21 @@
                     self.record = record;
                     self.revision += 1;
                     self.leaders[leader].revision = self.revision;
-                    self.leaders[leader].leases.committed(now);
+                    self.leaders[leader].leases.record_written(now);
                 }
             }
             KeyAction::Grant {
                 life, span, fence, ..
             } => {
-                self.leaders[leader].leases.granting(now, &life, span);
-                let timeout_ms = self.actual_timing.grant_limit.0;
-                let outage_grant =
-                    self.leaders[leader].leases.hold() == self.assumed_timing.outage_hold;
+                self.leaders[leader].leases.grant_sent(now, &life, span);
+                let timeout_ms = self.actual_timing.grant_timeout.0;
+                let outage_grant = self.leaders[leader].leases.lease_duration()
+                    == self.assumed_timing.outage_lease;
                 let timing = &self.actual_timing;
                 let lease = if outage_grant {
-                    timing.outage_hold
+                    timing.outage_lease
                 } else {
-                    timing.hold
+                    timing.lease
                 };
                 let kind = CallKind::Grant { span, fence, lease };
                 self.send(leader, life, kind, timeout_ms);
@@ -104,8 +104,8 @@
             KeyAction::Release {
                 life, span, fence, ..
             } => {
-                self.leaders[leader].leases.releasing(&life, span);
-                let timeout_ms = self.actual_timing.release_limit.0;
+                self.leaders[leader].leases.release_sent(&life, span);
+                let timeout_ms = self.actual_timing.release_timeout.0;
                 self.send(leader, life, CallKind::Release { span, fence }, timeout_ms);
             }
         }
--- a/crates/chicoryrail-ownership/tests/model_keys/main.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/main.rs
@@ -62,9 +62,9 @@
 /// Guards against a simulation that misses real faults: a leader that assumes shorter times than actually
 /// occur lets two servers hold one key in some run.
 #[rstest]
-#[case::lease_shorter_than_granted(KeyTiming { hold: Millis(800), ..KeyTiming::default() })]
-#[case::outage_not_accounted_for(KeyTiming { outage_hold: Millis(2_500), ..KeyTiming::default() })]
-#[case::no_time_for_an_older_leader(KeyTiming { hold: Millis(1_500), stale_leader: Millis(0), ..KeyTiming::default() })]
+#[case::lease_shorter_than_granted(KeyTiming { lease: Millis(800), ..KeyTiming::default() })]
+#[case::outage_not_accounted_for(KeyTiming { outage_lease: Millis(2_500), ..KeyTiming::default() })]
+#[case::no_time_for_an_older_leader(KeyTiming { lease: Millis(1_500), stale_leader_max: Millis(0), ..KeyTiming::default() })]
 fn a_leader_that_assumes_shorter_times_is_detected(#[case] assumed_timing: KeyTiming) {
     assert!(violations(0..200, assumed_timing) > 0);
 }
--- a/crates/chicoryrail-ownership/tests/model_keys/server.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/server.rs
@@ -47,7 +47,7 @@
     let (span, fence) = match kind {
         CallKind::Grant { span, fence, .. } | CallKind::Release { span, fence } => (*span, *fence),
     };
-    let in_span = |i: &usize| span.has(sampled_key(*i));
+    let in_span = |i: &usize| span.contains(sampled_key(*i));
     let samples: Vec<_> = (0..SAMPLE_COUNT).filter(in_span).collect();
     let CallKind::Grant { lease, .. } = kind else {
         // A release is never refused, and its fence blocks older grants.
--- a/crates/chicoryrail-ownership/tests/model_keys/world.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/world.rs
@@ -93,7 +93,9 @@
     /// it.
     pub(crate) fn elect(&mut self) {
         if let Some(old) = self.leaders.last_mut() {
-            let overlap = self.rng.random_range(0..=self.actual_timing.stale_leader.0);
+            let overlap = self
+                .rng
+                .random_range(0..=self.actual_timing.stale_leader_max.0);
             old.acts_until = self.now + overlap;
         }
         let attempt = self.rng.random();
--- a/crates/chicoryrail-ownership/tests/peers.rs
+++ b/crates/chicoryrail-ownership/tests/peers.rs
@@ -13,7 +13,7 @@
 fn peers(n: u16) -> Peers {
     let mut peers = Peers::default();
     let hosts = (0..n).map(|i| (host(i), addr(i)));
-    peers.set(Millis::ZERO, hosts.collect());
+    peers.set_listed(Millis::ZERO, hosts.collect());
     peers
 }
 
@@ -27,7 +27,7 @@
 
 fn store(store: bool) -> HostState {
     HostState {
-        store,
+        store_reachable: store,
         ..HostState::default()
     }
 }
@@ -35,7 +35,7 @@
 fn power(power: u32) -> HostState {
     HostState {
         power,
-        reaches: BTreeSet::from(["east".into(), "west".into()]),
+        reachable_dcs: BTreeSet::from(["east".into(), "west".into()]),
         ..store(true)
     }
 }
@@ -48,25 +48,25 @@
     let mut peers = peers(3);
     let now = Millis(1_000);
     let east = BTreeSet::from(["east".into()]);
-    peers.heard(now, &host(0), addr(0), power(100));
-    peers.heard(now, &host(1), addr(1), power(199));
-    assert!(!peers.stronger(now, 100, &east));
-    peers.heard(now, &host(2), addr(2), power(500));
-    assert!(peers.stronger(now, 100, &east));
-    assert!(!peers.stronger(now, 500, &east));
-    assert!(!peers.stronger(Millis(2_000), 100, &east));
+    peers.record_heartbeat(now, &host(0), addr(0), power(100));
+    peers.record_heartbeat(now, &host(1), addr(1), power(199));
+    assert!(!peers.has_stronger_peer(now, 100, &east));
+    peers.record_heartbeat(now, &host(2), addr(2), power(500));
+    assert!(peers.has_stronger_peer(now, 100, &east));
+    assert!(!peers.has_stronger_peer(now, 500, &east));
+    assert!(!peers.has_stronger_peer(Millis(2_000), 100, &east));
 }
 
 /// Guards against electing a powerful host that can't reach the store or a data centre that the leader
 /// reaches: it could not lead, and would step down at once.
 #[rstest]
-#[case::reaches_less(HostState { reaches: BTreeSet::new(), ..power(500) })]
-#[case::without_the_store(HostState { store: false, ..power(500) })]
+#[case::reaches_less(HostState { reachable_dcs: BTreeSet::new(), ..power(500) })]
+#[case::without_the_store(HostState { store_reachable: false, ..power(500) })]
 fn power_alone_does_not_make_a_leader(#[case] state: HostState) {
     let mut peers = peers(1);
-    peers.heard(Millis(1_000), &host(0), addr(0), state);
+    peers.record_heartbeat(Millis(1_000), &host(0), addr(0), state);
     let own_dcs = BTreeSet::from(["east".into()]);
-    assert!(!peers.stronger(Millis(1_000), 100, &own_dcs));
+    assert!(!peers.has_stronger_peer(Millis(1_000), 100, &own_dcs));
 }
 
 /// A leader without the store may continue only while it sees most hosts. Guards against two leaders: if
@@ -75,23 +75,23 @@
 fn leading_without_the_store_needs_a_majority() {
     let mut peers = peers(9);
     for i in 0..4 {
-        peers.heard(Millis(1_000), &host(i), addr(i), store(true));
+        peers.record_heartbeat(Millis(1_000), &host(i), addr(i), store(true));
     }
-    assert!(!peers.hears_most(Millis(1_000), Millis(500)));
-    peers.heard(Millis(1_000), &host(4), addr(4), store(true));
-    assert!(peers.hears_most(Millis(1_400), Millis(500)));
-    assert!(!peers.hears_most(Millis(1_600), Millis(500)));
+    assert!(!peers.majority_seen_within(Millis(1_000), Millis(500)));
+    peers.record_heartbeat(Millis(1_000), &host(4), addr(4), store(true));
+    assert!(peers.majority_seen_within(Millis(1_400), Millis(500)));
+    assert!(!peers.majority_seen_within(Millis(1_600), Millis(500)));
 }
 
 /// Guards against a former leader that keeps sending its old term: it does not replace the newer one.
 #[test]
 fn terms_never_go_back() {
     let mut peers = peers(3);
-    assert!(peers.term(5, Some(&host(1))));
-    assert!(!peers.term(4, Some(&host(2))));
+    assert!(peers.observe_term(5, Some(&host(1))));
+    assert!(!peers.observe_term(4, Some(&host(2))));
     assert_eq!(peers.highest_term(), 5);
     assert_eq!(peers.leader_addr(), Some(([127, 0, 0, 1], 7_001).into()));
-    assert!(peers.term(6, None));
+    assert!(peers.observe_term(6, None));
     assert_eq!(peers.leader_addr(), None);
 }
 
@@ -101,10 +101,10 @@
 #[test]
 fn a_leader_seen_recently_is_working() {
     let mut peers = peers(3);
-    assert!(!peers.hears_leader(Millis(5_000), Millis(2_500)));
-    peers.heard_leader(Millis(5_000));
-    assert!(peers.hears_leader(Millis(7_500), Millis(2_500)));
-    assert!(!peers.hears_leader(Millis(7_501), Millis(2_500)));
+    assert!(!peers.leader_seen_within(Millis(5_000), Millis(2_500)));
+    peers.record_leader_seen(Millis(5_000));
+    assert!(peers.leader_seen_within(Millis(7_500), Millis(2_500)));
+    assert!(!peers.leader_seen_within(Millis(7_501), Millis(2_500)));
 }
 
 /// Strong hosts of a data centre schedule for its servers. Guards against servers without a scheduler if
@@ -121,15 +121,15 @@
     };
     let own = (&host(9), &state("west", 500));
     let mut peers = peers(3);
-    peers.heard(now, &host(0), addr(0), state("east", 500));
-    peers.heard(now, &host(1), addr(1), state("north", 2));
+    peers.record_heartbeat(now, &host(0), addr(0), state("east", 500));
+    peers.record_heartbeat(now, &host(1), addr(1), state("north", 2));
     let at = |peers: &Peers, dc: &str, n: u32| peers.scheduler(now, own, Some(&dc.into()), &n);
     for n in 0..50 {
         assert_eq!(at(&peers, "east", n), SchedulerHost::At(addr(0)));
         assert_eq!(at(&peers, "west", n), SchedulerHost::Here);
         assert_ne!(at(&peers, "north", n), SchedulerHost::At(addr(1)));
     }
-    peers.silent(addr(0));
+    peers.mark_unreachable(addr(0));
     assert!((0..50).all(|n| at(&peers, "east", n) != SchedulerHost::At(addr(0))));
 }
 
@@ -138,10 +138,10 @@
 #[test]
 fn limits_are_shared_among_all_hosts_ever_known() {
     let mut peers = peers(10);
-    assert_eq!(peers.sharing(), 11);
-    peers.set(Millis(60_000), Vec::new());
-    assert_eq!(peers.sharing(), 11);
-    assert_eq!(Peers::default().sharing(), 8);
+    assert_eq!(peers.sharing_hosts(), 11);
+    peers.set_listed(Millis(60_000), Vec::new());
+    assert_eq!(peers.sharing_hosts(), 11);
+    assert_eq!(Peers::default().sharing_hosts(), 8);
 }
 
 /// Guards against the longer grants for a store outage while one host may still reach the store: a host
@@ -151,10 +151,10 @@
     let mut peers = peers(3);
     for i in 0..3 {
         assert!(!peers.all_lost_store(Millis(1_000)));
-        peers.heard(Millis(1_000), &host(i), addr(i), store(false));
+        peers.record_heartbeat(Millis(1_000), &host(i), addr(i), store(false));
     }
     assert!(peers.all_lost_store(Millis(1_500)));
     assert!(!peers.all_lost_store(Millis(2_500)));
-    peers.heard(Millis(1_600), &host(1), addr(1), store(true));
+    peers.record_heartbeat(Millis(1_600), &host(1), addr(1), store(true));
     assert!(!peers.all_lost_store(Millis(1_600)));
 }
--- a/crates/chicoryrail-ownership/tests/reach.rs
+++ b/crates/chicoryrail-ownership/tests/reach.rs
@@ -5,9 +5,9 @@
 use chicoryrail_core::DcName;
 use chicoryrail_core::HostName;
 use chicoryrail_core::Millis;
+use chicoryrail_ownership::DcReachability;
 use chicoryrail_ownership::HostState;
 use chicoryrail_ownership::Peers;
-use chicoryrail_ownership::Reach;
 use rstest::rstest;
 
 const NOW: Millis = Millis(10_000);
@@ -25,13 +25,13 @@
     let host = HostName::new("other");
     let mut peers = Peers::default();
     let addr = ([127, 0, 0, 1], 7_000).into();
-    peers.set(Millis::ZERO, vec![(host.clone(), addr)]);
+    peers.set_listed(Millis::ZERO, vec![(host.clone(), addr)]);
     let state = HostState {
-        store,
-        reaches: dcs(reaches),
+        store_reachable: store,
+        reachable_dcs: dcs(reaches),
         ..HostState::default()
     };
-    peers.heard(Millis(seen_ms), &host, addr, state);
+    peers.record_heartbeat(Millis(seen_ms), &host, addr, state);
     peers
 }
 
@@ -52,46 +52,49 @@
     #[case] servers: usize,
     #[case] expected: bool,
 ) {
-    let mut reach = Reach::default();
-    reach.answered(Millis(9_800), &"west".into());
-    reach.answered(Millis(9_700), &"north".into());
-    reach.answered(Millis(8_500), &"east".into());
+    let mut reach = DcReachability::default();
+    reach.record_answer(Millis(9_800), &"west".into());
+    reach.record_answer(Millis(9_700), &"north".into());
+    reach.record_answer(Millis(8_500), &"east".into());
     let (east, west) = (DcName::new("east"), DcName::new("west"));
     let since = Some(Millis(NOW.0 - silent_ms));
     let lost = std::iter::repeat_n((&east, since), servers);
     let all = lost.chain([(&west, None), (&west, None)]);
-    let found = reach.out_of_reach(NOW, all, &peers(seen_ms, reaches));
+    let found = reach.find_unreachable_dc(NOW, all, &peers(seen_ms, reaches));
     assert_eq!(found.is_some(), expected);
 }
 
 /// Guards against choosing a host that reaches every data centre but not the store: it could not lead.
 #[test]
 fn a_host_without_the_store_is_no_better_leader() {
-    let mut reach = Reach::default();
-    reach.answered(Millis(9_800), &"west".into());
+    let mut reach = DcReachability::default();
+    reach.record_answer(Millis(9_800), &"west".into());
     let east = DcName::new("east");
     let since = Some(Millis(NOW.0 - 1_200));
     let all = [(&east, since), (&east, since)];
     let peers = |store| peers_with(9_900, "west east", store);
-    let found = |store| reach.out_of_reach(NOW, all.into_iter(), &peers(store));
+    let found = |store| reach.find_unreachable_dc(NOW, all.into_iter(), &peers(store));
     assert_eq!((found(true), found(false)), (Some(east.clone()), None));
 }
 
 /// Guards against treating a data centre as unreachable while one of its servers answers.
 #[test]
 fn a_data_centre_with_one_answer_is_reached() {
-    let reach = Reach::default();
+    let reach = DcReachability::default();
     let east = DcName::new("east");
     let since = Some(Millis(NOW.0 - 2_000));
     let all = [(&east, since), (&east, None), (&east, since)];
     let peers = peers(9_900, "east");
-    assert_eq!(reach.out_of_reach(NOW, all.into_iter(), &peers), None);
+    assert_eq!(
+        reach.find_unreachable_dc(NOW, all.into_iter(), &peers),
+        None
+    );
 }
 
 #[test]
 fn a_host_that_reaches_less_than_another_detects_it() {
     let peers = peers(9_900, "west east");
-    assert!(peers.reach_more(NOW, &dcs("west")));
-    assert!(!peers.reach_more(NOW, &dcs("west east")));
-    assert!(!peers.reach_more(Millis(20_000), &dcs("west")));
+    assert!(peers.any_reaches_more(NOW, &dcs("west")));
+    assert!(!peers.any_reaches_more(NOW, &dcs("west east")));
+    assert!(!peers.any_reaches_more(Millis(20_000), &dcs("west")));
 }
--- a/crates/chicoryrail-ownership/tests/watchers.rs
+++ b/crates/chicoryrail-ownership/tests/watchers.rs
@@ -8,7 +8,7 @@
 use chicoryrail_ownership::CoreHost;
 use chicoryrail_ownership::HostState;
 use chicoryrail_ownership::Peers;
-use chicoryrail_ownership::joins_core;
+use chicoryrail_ownership::should_join_core;
 use rstest::rstest;
 
 const NOW: Millis = Millis(10_000);
@@ -22,7 +22,7 @@
     fn of(hosts: usize) -> Self {
         let hosts = (0..hosts).map(|i| {
             let state = HostState {
-                store: true,
+                store_reachable: true,
                 schedules: true,
                 power: 500,
                 dc: Some(dc(i)),
@@ -40,7 +40,7 @@
         let mut peers = Peers::default();
         for (i, (name, state)) in self.hosts.iter().enumerate() {
             if i != own && !silent.contains(&i) {
-                peers.heard(NOW, name, addr(i), state.clone());
+                peers.record_heartbeat(NOW, name, addr(i), state.clone());
             }
         }
         peers
@@ -101,13 +101,13 @@
     let mut fleet = Fleet::of(9);
     let before = fleet.watchers(&[]);
     for i in &before {
-        fleet.hosts[*i].1.store = false;
+        fleet.hosts[*i].1.store_reachable = false;
     }
     let after = fleet.watchers(&[]);
     assert_eq!(after.len(), 2);
     assert!(after.iter().all(|i| !before.contains(i)));
     for (_, state) in &mut fleet.hosts {
-        state.store = false;
+        state.store_reachable = false;
     }
     assert_eq!(fleet.watchers(&[]), before);
 }
@@ -120,7 +120,7 @@
     let (name, state) = &fleet.hosts[8];
     let mut peers = fleet.peers_of(8, &[]);
     assert!(!peers.should_watch(NOW, (name, state)));
-    peers.term(7, Some(name));
+    peers.observe_term(7, Some(name));
     assert!(peers.should_watch(NOW, (name, state)));
 }
 
@@ -131,11 +131,11 @@
     let mut peers = fleet.peers_of(9, &[]);
     let leaf = HostName::new("leaf");
     for _ in 0..3 {
-        let relay = peers.core_for(NOW, &leaf, &dc(1)).unwrap();
+        let relay = peers.select_core_host(NOW, &leaf, &dc(1)).unwrap();
         assert!([addr(1), addr(4), addr(7)].contains(&relay));
-        peers.relay_failed(NOW, relay);
+        peers.record_relay_failure(NOW, relay);
     }
-    let far = peers.core_for(NOW, &leaf, &dc(1)).unwrap();
+    let far = peers.select_core_host(NOW, &leaf, &dc(1)).unwrap();
     assert!(![addr(1), addr(4), addr(7)].contains(&far));
 }
 
@@ -145,9 +145,9 @@
 fn a_starting_leaf_host_follows_a_listed_core_host() {
     let mut peers = Peers::default();
     let leaf = HostName::new("leaf");
-    assert_eq!(peers.core_for(NOW, &leaf, &dc(0)), None);
-    peers.set(NOW, vec![(HostName::new("h00"), addr(0))]);
-    assert_eq!(peers.core_for(NOW, &leaf, &dc(0)), Some(addr(0)));
+    assert_eq!(peers.select_core_host(NOW, &leaf, &dc(0)), None);
+    peers.set_listed(NOW, vec![(HostName::new("h00"), addr(0))]);
+    assert_eq!(peers.select_core_host(NOW, &leaf, &dc(0)), Some(addr(0)));
 }
 
 /// Strong hosts join the core up to a limit; weak hosts join only if the strong ones have too little power.
@@ -168,7 +168,7 @@
         addr: addr(1),
         power: *power,
     });
-    assert_eq!(joins_core(power, listed), joins);
+    assert_eq!(should_join_core(power, listed), joins);
 }
 
 /// A value written by an older version has no power; a value in another format names no host.
--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -83,7 +83,7 @@
             Err(e) => record_store_call(&router, "records", Some(&e)),
         }
         router.process.clock.sleep(LEADER_TIMEOUT).await;
-        while router.hears_leader(LEADER_TIMEOUT) || !router.store_up.get() {
+        while router.leader_seen_within(LEADER_TIMEOUT) || !router.store_up.get() {
             router.process.clock.sleep(LEADER_TIMEOUT).await;
         }
     }
@@ -222,7 +222,7 @@
     if feed == Feed::Operator || router.leads.get() > 0 {
         return BATCH_PAUSE_MIN;
     }
-    let hosts = router.peers.borrow().sharing() as u64;
+    let hosts = router.peers.borrow().sharing_hosts() as u64;
     BATCH_PAUSE_PER_HOST
         .times(hosts)
         .clamp(BATCH_PAUSE_MIN, BATCH_PAUSE_MAX)
--- a/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
@@ -77,7 +77,7 @@
                 router.process.clock.sleep(RELAY_RETRY_INTERVAL).await;
                 let boot = router.boot();
                 let peers = router.peers.borrow();
-                peers.core_for(router.now(), &boot.host, &boot.dc)
+                peers.select_core_host(router.now(), &boot.host, &boot.dc)
             }
             Source::Store | Source::Unknown => None,
         };
@@ -101,7 +101,10 @@
             }
             Err(e) => {
                 log::info!(relay:% = addr, error:% = e; "relay_failed");
-                router.peers.borrow_mut().relay_failed(router.now(), addr);
+                router
+                    .peers
+                    .borrow_mut()
+                    .record_relay_failure(router.now(), addr);
             }
         }
         // After a failure, `choose_source` selects another relay during this pause.
@@ -189,12 +192,12 @@
         scheduling::redirect_moved_keys(router, &service);
     }
     let mut peers = router.peers.borrow_mut();
-    peers.count(reply.hosts as usize);
-    if peers.term(reply.term, reply.leader.as_ref()) {
+    peers.update_max_hosts(reply.hosts as usize);
+    if peers.observe_term(reply.term, reply.leader.as_ref()) {
         log::info!(term = reply.term; "term_relayed");
     }
     if let Some(age) = reply.leader_ms {
-        peers.heard_leader(Millis(now.0.saturating_sub(age)));
+        peers.record_leader_seen(Millis(now.0.saturating_sub(age)));
     }
 }
 
@@ -231,13 +234,13 @@
     let mut peers = router.peers.borrow_mut();
     for core in &reply.core {
         let state = HostState {
-            store: core.store,
+            store_reachable: core.store,
             power: core.power,
             schedules: core.schedules,
             dc: core.dc.clone(),
             watches: core.watches,
             ..HostState::default()
         };
-        peers.heard(now, &core.host, core.addr, state);
+        peers.record_heartbeat(now, &core.host, core.addr, state);
     }
 }
--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -114,7 +114,7 @@
         news,
         keys: key_maps(router, poll),
         core: core_states(router),
-        hosts: peers.sharing() as u32,
+        hosts: peers.sharing_hosts() as u32,
         term: peers.highest_term(),
         leader: peers.leader().cloned(),
         leader_ms: router.leader_age().map(|age| age.0),
@@ -139,7 +139,7 @@
         let keys = service.keys.borrow();
         let fence = keys.fence();
         if fence > known_fence(poll, &service.name) {
-            let ranges = KeyRanges::pack(&keys.record_in_force().spans);
+            let ranges = KeyRanges::pack(&keys.current_record().spans);
             let service = service.name.clone();
             maps.push(KeyMap {
                 service,
@@ -154,7 +154,7 @@
 /// Returns the core hosts from which this one received a heartbeat recently, and itself.
 fn core_states(router: &Router) -> Vec<CoreState> {
     let peers = router.peers.borrow();
-    let recent = peers.heard_lately(router.now());
+    let recent = peers.recent_peers(router.now());
     let others = recent.map(|(host, addr, state)| core_state(host, addr, state));
     let boot = router.boot();
     let own = core_state(&boot.host, router.talk_addr(), &router.host_state());
@@ -168,7 +168,7 @@
         dc: state.dc.clone(),
         power: state.power,
         schedules: state.schedules,
-        store: state.store,
+        store: state.store_reachable,
         watches: state.watches,
     }
 }
--- a/crates/chicoryrail-router/src/control/gossip.rs
+++ b/crates/chicoryrail-router/src/control/gossip.rs
@@ -181,12 +181,12 @@
             dc: self.router.boot().dc.clone(),
             term: self.router.peers.borrow().highest_term(),
             leads,
-            store: state.store,
-            reaches: state.reaches,
+            store: state.store_reachable,
+            reaches: state.reachable_dcs,
             power: state.power,
             schedules: state.schedules,
             watches: state.watches,
-            leaves: state.leaves,
+            leaves: state.leaf_hosts,
             keys,
         }
     }
@@ -254,22 +254,22 @@
         {
             let mut peers = self.router.peers.borrow_mut();
             let state = HostState {
-                store: heartbeat.store,
-                reaches: heartbeat.reaches,
+                store_reachable: heartbeat.store,
+                reachable_dcs: heartbeat.reaches,
                 power: heartbeat.power,
                 schedules: heartbeat.schedules,
                 dc: Some(heartbeat.dc),
                 watches: heartbeat.watches,
-                leaves: heartbeat.leaves,
+                leaf_hosts: heartbeat.leaves,
             };
-            peers.heard(now, &heartbeat.host, from, state);
-            let host_count = peers.all_hosts(now, self.router.leaves());
-            peers.count(host_count);
+            peers.record_heartbeat(now, &heartbeat.host, from, state);
+            let host_count = peers.host_count(now, self.router.leaves());
+            peers.update_max_hosts(host_count);
             let leader = heartbeat.leads.then_some(&heartbeat.host);
             if heartbeat.leads && heartbeat.term >= known_term {
-                peers.heard_leader(now);
+                peers.record_leader_seen(now);
             }
-            if peers.term(heartbeat.term, leader) {
+            if peers.observe_term(heartbeat.term, leader) {
                 log::info!(term = heartbeat.term, from:% = heartbeat.host,
                     known = known_term; "term_heard");
             }
@@ -286,14 +286,14 @@
         let service = self.router.service(&update.service);
         if let Some(ranges) = &update.ranges {
             let record = ranges.to_record(update.fence);
-            service.keys.borrow_mut().record(now, record);
+            service.keys.borrow_mut().apply_record(now, record);
         }
         let blocked = update.blocked.into_iter();
         let blocked = blocked.map(|(first, last)| KeyRange { first, last });
         service
             .keys
             .borrow_mut()
-            .blocked(update.fence, blocked.collect());
+            .apply_blocked(update.fence, blocked.collect());
         scheduling::redirect_moved_keys(&self.router, &service);
         service.changed.notify();
     }
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -54,8 +54,12 @@
             continue;
         }
         let mut wait = Millis(rand::rng().random_range(0..CAMPAIGN_JITTER.0));
-        let reaches = router.reach.borrow().lately(router.now());
-        if router.peers.borrow().reach_more(router.now(), &reaches) {
+        let reaches = router.reach.borrow().reachable_dcs(router.now());
+        if router
+            .peers
+            .borrow()
+            .any_reaches_more(router.now(), &reaches)
+        {
             wait = wait + FEWER_REACHED_DELAY;
         }
         if router.knows_stronger() {
@@ -128,7 +132,7 @@
     router.leads.set(term);
     router.counters.leading.set(1);
     let host = router.boot().host.clone();
-    router.peers.borrow_mut().term(term, Some(&host));
+    router.peers.borrow_mut().observe_term(term, Some(&host));
     leadership.changed.notify();
     monoio::spawn(key_leader::lead_keys(
         Rc::clone(router),
--- a/crates/chicoryrail-router/src/control/leader/key_calls.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_calls.rs
@@ -6,11 +6,11 @@
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
-use chicoryrail_ownership::keys::GrantEnd;
+use chicoryrail_ownership::keys::GrantOutcome;
 use chicoryrail_ownership::keys::KeyRange;
 use chicoryrail_ownership::keys::KeyRecord;
 use chicoryrail_ownership::keys::KeyTiming;
-use chicoryrail_ownership::keys::ReleaseEnd;
+use chicoryrail_ownership::keys::ReleaseOutcome;
 use chicoryrail_platform::KeyError;
 use chicoryrail_platform::KeyGrant;
 use chicoryrail_platform::StoreError;
@@ -36,7 +36,7 @@
                 let invariants = &self.router.process.invariants;
                 invariants.rises(Invariant::FenceForward, &before, &record.fence);
                 self.revision.set(revision);
-                self.leases.borrow_mut().committed(now);
+                self.leases.borrow_mut().record_written(now);
                 log::info!(service:% = self.service, fence = record.fence, revision = revision,
                     loose = record.loose.len(); "keys_written");
             }
@@ -89,7 +89,7 @@
 
     /// Sends a grant to a server and records its outcome.
     pub(super) async fn grant(self: Rc<Self>, life: Life, addr: SocketAddr, grant: KeyGrant) {
-        let limit = KeyTiming::default().grant_limit;
+        let limit = KeyTiming::default().grant_timeout;
         let (stored, invariants) = (self.stored_fence.get(), &self.router.process.invariants);
         invariants.check(Invariant::StoredFirst, grant.fence <= stored, || {
             format!("fence={} stored={stored}", grant.fence)
@@ -105,10 +105,12 @@
             Err(KeyError::Silent { reason })
         };
         let (end, name) = match &result {
-            Ok(()) => (GrantEnd::Held, "held"),
-            Err(KeyError::FenceOld) => (GrantEnd::FenceOld, "fence_old"),
-            Err(KeyError::OtherServer) => (GrantEnd::OtherServer, "other_server"),
-            Err(KeyError::Silent { .. } | KeyError::Refused { .. }) => (GrantEnd::Silent, "silent"),
+            Ok(()) => (GrantOutcome::Granted, "held"),
+            Err(KeyError::FenceOld) => (GrantOutcome::StaleFence, "fence_old"),
+            Err(KeyError::OtherServer) => (GrantOutcome::WrongServer, "other_server"),
+            Err(KeyError::Silent { .. } | KeyError::Refused { .. }) => {
+                (GrantOutcome::NoAnswer, "silent")
+            }
         };
         self.count("grant", name, started);
         if let Err(e) = &result {
@@ -124,7 +126,7 @@
             last: grant.last,
         };
         let mut leases = self.leases.borrow_mut();
-        leases.granted(now, &life, span, grant.fence, end);
+        leases.grant_finished(now, &life, span, grant.fence, end);
         self.call_ended.notify();
     }
 
@@ -133,21 +135,21 @@
     fn record_grant(&self, now: Millis, life: &Life) {
         let before = self.last_grants.borrow_mut().insert(life.clone(), now);
         let gap = before.map_or(Millis::ZERO, |at| now.since(at));
-        if gap > Millis(KeyTiming::default().hold.0 / 2) {
+        if gap > Millis(KeyTiming::default().lease.0 / 2) {
             log::info!(server:% = life, service:% = self.service, after_ms = gap.0; "renewed_late");
         }
     }
 
     /// Sends a release to a server and records its outcome.
     pub(super) async fn release(self: Rc<Self>, life: Life, addr: SocketAddr, grant: KeyGrant) {
-        let limit = KeyTiming::default().release_limit;
+        let limit = KeyTiming::default().release_timeout;
         let control = &self.router.control;
         let started = Instant::now();
         let result = control.release(addr, &life.name, &grant, limit).await;
         let (end, name) = match &result {
-            Ok(token) => (ReleaseEnd::Free(token.clone()), "free"),
-            Err(KeyError::OtherServer) => (ReleaseEnd::OtherServer, "other_server"),
-            Err(_) => (ReleaseEnd::Silent, "silent"),
+            Ok(token) => (ReleaseOutcome::Released(token.clone()), "free"),
+            Err(KeyError::OtherServer) => (ReleaseOutcome::WrongServer, "other_server"),
+            Err(_) => (ReleaseOutcome::NoAnswer, "silent"),
         };
         self.count("release", name, started);
         log::info!(server:% = life, service:% = self.service, fence = grant.fence,
@@ -157,7 +159,9 @@
             first: grant.first,
             last: grant.last,
         };
-        self.leases.borrow_mut().released(now, &life, span, end);
+        self.leases
+            .borrow_mut()
+            .release_finished(now, &life, span, end);
         self.call_ended.notify();
     }
 
--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -141,7 +141,7 @@
         while self.leadership.term.get() == self.term {
             let ended = self.call_ended.count();
             let outage = self.router.all_lost_store(self.router.now());
-            self.leases.borrow_mut().store_away(outage);
+            self.leases.borrow_mut().set_store_down(outage);
             self.update_servers();
             self.check_reachability();
             self.plan();
@@ -149,7 +149,7 @@
             if self.leadership.may_act(&self.router) {
                 self.run_due_actions();
             }
-            let changing = self.leases.borrow().is_changing();
+            let changing = self.leases.borrow().has_pending_change();
             self.announce(&mut announced);
             if self.leases.borrow().is_deposed() {
                 log::warn!(service:% = self.service, term = self.term; "fence_refused");
@@ -169,7 +169,7 @@
     /// Applies a changed record and its ungranted ranges on this host, and schedules their announcement to the others.
     fn announce(&self, announced: &mut Option<(u64, Vec<KeyRange>)>) {
         let leases = self.leases.borrow();
-        let update = (leases.record().fence, leases.blocked());
+        let update = (leases.record().fence, leases.ungranted_keys());
         if announced.as_ref() == Some(&update) {
             return;
         }
@@ -179,7 +179,10 @@
             keys:? = blocked.iter().map(|s| s.len()).sum::<u32>(); "keys_blocked");
         let service = self.router.service(&self.service);
         self.router.key_record(&service, leases.record().clone());
-        service.keys.borrow_mut().blocked(fence, blocked.clone());
+        service
+            .keys
+            .borrow_mut()
+            .apply_blocked(fence, blocked.clone());
         scheduling::redirect_moved_keys(&self.router, &service);
         service.changed.notify();
         let mut updates = self.leadership.key_updates.borrow_mut();
@@ -193,12 +196,12 @@
         let now = self.router.now();
         let mut leases = self.leases.borrow_mut();
         let view = self.router.view.borrow();
-        let named: Vec<Life> = leases.named();
+        let named: Vec<Life> = leases.lease_owners();
         for entry in view.servers().filter(|e| e.member.service == self.service) {
             let life = &entry.member.life;
-            leases.server_at(now, life, entry.member.addr);
+            leases.set_server_addr(now, life, entry.member.addr);
             for old in named.iter().filter(|old| life.succeeds(old)) {
-                leases.ended(old);
+                leases.server_ended(old);
             }
         }
     }
@@ -216,10 +219,10 @@
         let owners = leases.record().spans.iter().map(|s| &s.owner);
         let owners = owners.filter_map(|life| {
             let target = targets.get(life)?;
-            Some((&target.dc, leases.silent_since(life)))
+            Some((&target.dc, leases.unanswered_since(life)))
         });
         let reach = self.router.reach.borrow();
-        let lost = reach.out_of_reach(now, owners, &self.router.peers.borrow());
+        let lost = reach.find_unreachable_dc(now, owners, &self.router.peers.borrow());
         if let Some(dc) = lost.filter(|_| !self.leadership.steps_down.get()) {
             log::warn!(service:% = self.service, term = self.term, dc:% = dc; "leader_makes_way");
             self.leadership.steps_down.set(true);
@@ -229,8 +232,8 @@
     /// Starts the calls that are due, to the store and to servers.
     fn run_due_actions(self: &Rc<Self>) {
         let now = self.router.now();
-        let actions = self.leases.borrow_mut().due(now);
-        for owned in self.leases.borrow_mut().take_waited_out() {
+        let actions = self.leases.borrow_mut().due_actions(now);
+        for owned in self.leases.borrow_mut().take_expired() {
             log::info!(server:% = owned.owner, service:% = self.service,
                 first = owned.span.first, last = owned.span.last; "hold_waited_out");
         }
@@ -248,8 +251,8 @@
                     fence,
                     handover,
                 } => {
-                    self.leases.borrow_mut().granting(now, &life, span);
-                    let hold = self.leases.borrow().hold();
+                    self.leases.borrow_mut().grant_sent(now, &life, span);
+                    let hold = self.leases.borrow().lease_duration();
                     let grant = key_grant(span, fence, hold, handover);
                     monoio::spawn(Rc::clone(self).grant(life, addr, grant));
                 }
@@ -259,7 +262,7 @@
                     span,
                     fence,
                 } => {
-                    self.leases.borrow_mut().releasing(&life, span);
+                    self.leases.borrow_mut().release_sent(&life, span);
                     let grant = key_grant(span, fence, Millis::ZERO, None);
                     monoio::spawn(Rc::clone(self).release(life, addr, grant));
                 }
--- a/crates/chicoryrail-router/src/control/leader/leader_term.rs
+++ b/crates/chicoryrail-router/src/control/leader/leader_term.rs
@@ -49,7 +49,7 @@
         let mut loads = self.key_loads.borrow_mut();
         let load = loads.entry(service.clone()).or_default();
         for key in keys {
-            load.seen(*key);
+            load.record(*key);
         }
     }
 
@@ -80,7 +80,7 @@
     ) -> T {
         let mut loads = self.key_loads.borrow_mut();
         let load = loads.entry(service.clone()).or_default();
-        load.age(now);
+        load.decay(now);
         f(load)
     }
 
@@ -97,6 +97,7 @@
             return false;
         }
         let lease = Millis(self.lease_ttl.get().0 * LEASE_TRUSTED_PERCENT / 100);
-        now.since(self.confirmed_at.get()) < lease || peers.hears_most(now, HEARTBEAT_AGE_MAX)
+        now.since(self.confirmed_at.get()) < lease
+            || peers.majority_seen_within(now, HEARTBEAT_AGE_MAX)
     }
 }
--- a/crates/chicoryrail-router/src/control/leader/plan_keys.rs
+++ b/crates/chicoryrail-router/src/control/leader/plan_keys.rs
@@ -4,7 +4,7 @@
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
-use chicoryrail_ownership::keys::Holder;
+use chicoryrail_ownership::keys::KeyCandidate;
 use chicoryrail_ownership::keys::Moves;
 use chicoryrail_ownership::keys::Plan;
 
@@ -36,7 +36,7 @@
     /// Plans a new assignment if the set of candidates changed or the load is unbalanced.
     pub(super) fn plan(&self) {
         let now = self.router.now();
-        if self.leases.borrow().is_writing() {
+        if self.leases.borrow().is_write_pending() {
             return;
         }
         let candidates = self.candidates(now);
@@ -45,10 +45,10 @@
         let moves = match now.since(self.balanced_at.get()) {
             since if since >= BALANCE_INTERVAL => Moves::Balance,
             since if since >= RELIEF_INTERVAL => Moves::Urgent,
-            _ => Moves::Needed,
+            _ => Moves::Required,
         };
         let plan = self.leadership.with_load(now, &self.service, |load| {
-            Plan::of(self.leases.borrow().record(), &candidates, load, moves)
+            Plan::compute(self.leases.borrow().record(), &candidates, load, moves)
         });
         if let Plan::Change(spans) = plan {
             self.balanced_at.set(now);
@@ -57,31 +57,31 @@
             self.leadership.retain_service_rates(is_known);
             log::info!(service:% = self.service, servers = candidates.len(),
                 spans = spans.len(), fence = self.leases.borrow().record().fence; "keys_planned");
-            self.leases.borrow_mut().change(spans, rand::random());
+            self.leases.borrow_mut().begin_change(spans, rand::random());
         } else if now.since(self.balanced_at.get()) >= MERGE_INTERVAL
-            && self.leases.borrow().is_untidy()
+            && self.leases.borrow().has_stale_former_owners()
         {
             self.balanced_at.set(now);
             let spans = self.leases.borrow().record().spans.clone();
-            self.leases.borrow_mut().change(spans, rand::random());
+            self.leases.borrow_mut().begin_change(spans, rand::random());
         }
     }
 
     /// Returns the servers that may be assigned keys, sorted: those that are ready, respond and are warmed up. If there
     /// are none, servers that are warming up are included.
-    fn candidates(&self, now: Millis) -> Vec<Holder> {
+    fn candidates(&self, now: Millis) -> Vec<KeyCandidate> {
         let service = self.router.service(&self.service);
         let targets = service.targets.borrow();
         let leases = self.leases.borrow();
         let owners: BTreeSet<&Life> = leases.record().spans.iter().map(|s| &s.owner).collect();
-        let select = |include_warmup: bool| -> Vec<Holder> {
+        let select = |include_warmup: bool| -> Vec<KeyCandidate> {
             let ready = targets.values().filter(|t| t.is_ready());
             let ready = ready.filter(|t| !leases.is_lost(now, &t.life));
             let owns = |life: &Life| owners.contains(life);
             let ready = ready.filter(|t| owns(&t.life) || now.since(t.known) >= SERVER_SETTLE_TIME);
             let warm = ready.filter(|t| include_warmup || !t.is_cold(now) || owns(&t.life));
             let mut candidates: Vec<_> = warm
-                .map(|t| Holder {
+                .map(|t| KeyCandidate {
                     life: t.life.clone(),
                     weight: self.weight(t),
                 })
--- a/crates/chicoryrail-router/src/control/membership/source.rs
+++ b/crates/chicoryrail-router/src/control/membership/source.rs
@@ -5,7 +5,7 @@
 use chicoryrail_core::Millis;
 use chicoryrail_ownership::CoreHost;
 use chicoryrail_ownership::is_strong;
-use chicoryrail_ownership::joins_core;
+use chicoryrail_ownership::should_join_core;
 use chicoryrail_ownership::store_key::HOSTS;
 use chicoryrail_ownership::store_key::host_key;
 use rand::Rng;
@@ -72,13 +72,13 @@
         if peers.should_watch(now, (&boot.host, &router.host_state())) {
             return Source::Store;
         }
-        let watcher = peers.watcher_for(now, &boot.host, &boot.dc);
+        let watcher = peers.select_watcher(now, &boot.host, &boot.dc);
         return watcher.map_or(Source::Store, Source::Relay);
     }
     if now.since(state.replied.get().max(listed)) > relay_timeout {
         return Source::Store;
     }
-    let relay = peers.core_for(now, &boot.host, &boot.dc);
+    let relay = peers.select_core_host(now, &boot.host, &boot.dc);
     relay.map_or(state.source.get(), Source::Relay)
 }
 
@@ -150,5 +150,5 @@
     }
     let listed = view.own_below(HOSTS);
     let listed = listed.filter_map(|(_, item)| CoreHost::from_value(&item.value));
-    joins_core(router.power(), listed)
+    should_join_core(router.power(), listed)
 }
--- a/crates/chicoryrail-router/src/control/quota/leases.rs
+++ b/crates/chicoryrail-router/src/control/quota/leases.rs
@@ -74,7 +74,7 @@
         state
             .last_reports
             .retain(|_, at| now.since(*at) <= LONE_AFTER);
-        let schedulers = router.peers.borrow().schedulers_count();
+        let schedulers = router.peers.borrow().core_host_count();
         let heard_part = state.last_reports.len() as f64 / schedulers as f64;
         let allowance = router.quota_allowance();
         let mut grants = Vec::new();
--- a/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
@@ -49,7 +49,7 @@
 /// Updates for each server whether this host schedules it, by rendezvous hashing. `previous` identifies the set of
 /// schedulers at the last call: while it is unchanged, only new servers are evaluated. Returns the current one.
 fn update_scheduled(router: &Router, previous: u64) -> u64 {
-    let current = router.peers.borrow().schedulers_mark(router.now());
+    let current = router.peers.borrow().schedulers_hash(router.now());
     let changed = current != previous;
     for service in router.services() {
         for target in service.targets.borrow().values() {
--- a/crates/chicoryrail-router/src/control/scheduling/requests.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/requests.rs
@@ -172,7 +172,7 @@
         };
         let keys = service.keys.borrow();
         let moved = scheduler.waiting_keys().filter(|(_, key)| {
-            let owner = keys.meant(*key);
+            let owner = keys.assigned_owner(*key);
             router.server_scheduler(service, owner) != SchedulerHost::Here
         });
         moved.map(|(ticket, _)| ticket).collect()
@@ -204,10 +204,10 @@
         };
         let keys = service.keys.borrow();
         scheduler.poll(now, |key| match keys.owner(now, key) {
-            KeyOwner::Held(life) => service
+            KeyOwner::Granted(life) => service
                 .target(&life)
                 .map_or(Placement::Moving, |t| Placement::Owner(t.id)),
-            KeyOwner::Moving | KeyOwner::Nobody => Placement::Moving,
+            KeyOwner::Moving | KeyOwner::Unassigned => Placement::Moving,
         })
     };
     for (ticket, decision) in decisions {
--- a/crates/chicoryrail-router/src/route/choose.rs
+++ b/crates/chicoryrail-router/src/route/choose.rs
@@ -55,9 +55,9 @@
 fn choose_owner(router: &Router, service: &Service, call: &Call, key: u16, now: Millis) -> Choice {
     let owner = service.keys.borrow().owner(now, key);
     let life = match owner {
-        KeyOwner::Held(life) => life,
+        KeyOwner::Granted(life) => life,
         KeyOwner::Moving => return Choice::Wait(Cause::KeyMoving, KEY_MOVE_RETRY),
-        KeyOwner::Nobody => return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY),
+        KeyOwner::Unassigned => return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY),
     };
     let target = service.target(&life).filter(|t| t.may_get(now));
     let Some(target) = target else {
@@ -119,11 +119,15 @@
     // The scheduler distributes half of the warm-up rate. A host that receives the leader's messages, but got no reply
     // from the scheduler in time, sends such a server nothing: all such hosts together would exceed the rate, as
     // the scheduler still uses its half.
-    if router.is_unsure_of_hosts(now) || router.peers.borrow().hears_leader(now, LEADER_SILENCE_MAX)
+    if router.is_unsure_of_hosts(now)
+        || router
+            .peers
+            .borrow()
+            .leader_seen_within(now, LEADER_SILENCE_MAX)
     {
         return false;
     }
     let rate_max = router.cold_bound(call.service_name()) * LOCAL_WARMUP_FRACTION;
-    let hosts = router.peers.borrow().sharing();
+    let hosts = router.peers.borrow().sharing_hosts();
     target.cold.borrow_mut().take(now, rate_max, hosts)
 }
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -201,7 +201,7 @@
     router
         .reach
         .borrow_mut()
-        .answered(router.now(), &in_flight.target.dc);
+        .record_answer(router.now(), &in_flight.target.dc);
     record_report(router, service, &in_flight, &head.headers);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         drain(body, in_flight).await;
--- a/crates/chicoryrail-router/src/route/slot_query.rs
+++ b/crates/chicoryrail-router/src/route/slot_query.rs
@@ -121,7 +121,7 @@
         };
         if silence >= resend_after + SCHEDULER_TIMEOUT - FIRST_REPLY_TIMEOUT {
             if let SchedulerHost::At(addr) = query.scheduler {
-                router.peers.borrow_mut().silent(addr);
+                router.peers.borrow_mut().mark_unreachable(addr);
             }
             log::info!(request = call.id, silent_ms = silence.0, heard = acknowledged,
                 host:? = query.scheduler; "scheduler_silent");
@@ -203,7 +203,7 @@
         return router.part_scheduler(part);
     }
     let keys = service.keys.borrow();
-    let owner = call.key.and_then(|key| keys.meant(key));
+    let owner = call.key.and_then(|key| keys.assigned_owner(key));
     router.server_scheduler(service, owner)
 }
 
--- a/crates/chicoryrail-router/src/state/believe.rs
+++ b/crates/chicoryrail-router/src/state/believe.rs
@@ -71,13 +71,13 @@
             (name != own).then_some((name, host.addr))
         });
         let hosts = hosts.collect();
-        self.peers.borrow_mut().set(self.now(), hosts);
+        self.peers.borrow_mut().set_listed(self.now(), hosts);
     }
 
     /// Applies a key record from the store or the leader.
     pub(crate) fn key_record(&self, service: &Service, record: KeyRecord) {
         let (fence, spans) = (record.fence, record.spans.len());
-        if service.keys.borrow_mut().record(self.now(), record) {
+        if service.keys.borrow_mut().apply_record(self.now(), record) {
             log::info!(service:% = service.name, fence = fence, spans = spans; "key_record");
             service.changed.notify();
             self.news.notify();
@@ -162,7 +162,7 @@
         let spec = view.site().and_then(|s| s.service(&service.name));
         service.keyed.set(spec.is_some_and(|s| s.keyed));
         let connections = spec.map_or(u32::MAX, |s| s.connections);
-        let part = connections / self.peers.borrow().sharing() as u32;
+        let part = connections / self.peers.borrow().sharing_hosts() as u32;
         target.pool.set_cap(member.slots, part.max(2));
         let admission = if view.is_taken_out(&member.dc) {
             Admission::Closed
--- a/crates/chicoryrail-router/src/state/quota_shares.rs
+++ b/crates/chicoryrail-router/src/state/quota_shares.rs
@@ -88,7 +88,7 @@
     fn bound(&self, router: &Router, limit: QuotaLimit) -> ShareBound {
         ShareBound {
             limit,
-            schedulers: router.peers.borrow().schedulers_count(),
+            schedulers: router.peers.borrow().core_host_count(),
             lone: self.is_lone(router.now()),
             allowance: router.quota_allowance(),
         }
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -13,9 +13,9 @@
 use chicoryrail_core::Millis;
 use chicoryrail_core::ServiceName;
 use chicoryrail_core::Site;
+use chicoryrail_ownership::DcReachability;
 use chicoryrail_ownership::HostState;
 use chicoryrail_ownership::Peers;
-use chicoryrail_ownership::Reach;
 use chicoryrail_ownership::SchedulerHost;
 use chicoryrail_platform::Boot;
 use chicoryrail_platform::FeedLog;
@@ -75,7 +75,7 @@
     pub(crate) view: RefCell<View>,
     pub(crate) peers: RefCell<Peers>,
     /// Data centres whose servers answer this host.
-    pub(crate) reach: RefCell<Reach>,
+    pub(crate) reach: RefCell<DcReachability>,
     /// HTTP limits for callers' connections.
     pub(crate) limits: SharedLimits,
     /// Number of requests in progress.
@@ -191,8 +191,8 @@
     }
 
     /// Returns whether this host leads, or received a heartbeat of the leader within `age`.
-    pub(crate) fn hears_leader(&self, age: Millis) -> bool {
-        self.leads.get() > 0 || self.peers.borrow().hears_leader(self.now(), age)
+    pub(crate) fn leader_seen_within(&self, age: Millis) -> bool {
+        self.leads.get() > 0 || self.peers.borrow().leader_seen_within(self.now(), age)
     }
 
     /// Returns the CPU capacity that this host advertises for leading and scheduling, in thousandths of a core; a slow
@@ -220,13 +220,13 @@
     /// Returns the state that this host reports in its heartbeats.
     pub(crate) fn host_state(&self) -> HostState {
         HostState {
-            store: self.store_up.get(),
-            reaches: self.reach.borrow().lately(self.now()),
+            store_reachable: self.store_up.get(),
+            reachable_dcs: self.reach.borrow().reachable_dcs(self.now()),
             power: self.power(),
             schedules: self.schedules(),
             dc: Some(self.boot().dc.clone()),
             watches: self.source.watches(),
-            leaves: self.leaves(),
+            leaf_hosts: self.leaves(),
         }
     }
 
@@ -287,9 +287,9 @@
     /// this one reaches.
     pub(crate) fn knows_stronger(&self) -> bool {
         let now = self.now();
-        let reaches = self.reach.borrow().lately(now);
+        let reaches = self.reach.borrow().reachable_dcs(now);
         let peers = self.peers.borrow();
-        peers.stronger(now, self.power(), &reaches)
+        peers.has_stronger_peer(now, self.power(), &reaches)
     }
 
     /// Returns the retry budget that all hosts share.
@@ -299,7 +299,7 @@
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
             window: bounds.retry_window,
-            hosts: self.peers.borrow().sharing(),
+            hosts: self.peers.borrow().sharing_hosts(),
         }
     }
 
@@ -320,7 +320,7 @@
 
     /// Returns the number of hosts among which a limit is divided for requests that no scheduler counts.
     pub(crate) fn lone_hosts(&self) -> usize {
-        let known = self.peers.borrow().sharing();
+        let known = self.peers.borrow().sharing_hosts();
         if self.is_unsure_of_hosts(self.now()) {
             return known.max(ASSUMED_HOSTS_MIN);
         }
@@ -339,7 +339,7 @@
     /// relay on a leaf host.
     pub(crate) fn has_peer_contact(&self, now: Millis) -> bool {
         if self.source.core.get() {
-            return self.peers.borrow().heard_lately(now).next().is_some();
+            return self.peers.borrow().recent_peers(now).next().is_some();
         }
         now.since(self.source.replied.get()) <= RELAY_REPLY_TIMEOUT
     }
