--- a/crates/chicoryrail-policy/src/admission/key_index.rs
+++ b/crates/chicoryrail-policy/src/admission/api_key_index.rs
@@ -13,12 +13,12 @@
 /// Keys are looked up by a keyed digest with a per-process secret. The time of a lookup therefore reveals nothing about
 /// how much of a guessed key is correct, and nobody can choose keys that collide.
 #[derive(Clone, Debug, Default)]
-pub struct KeyIndex {
+pub struct ApiKeyIndex {
     secret: [u8; 16],
     by_digest: HashMap<u128, Arc<Organisation>>,
 }
 
-impl KeyIndex {
+impl ApiKeyIndex {
     /// Indexes the organisations. `secret` is random for each process.
     #[must_use]
     pub fn new(secret: [u8; 16], organisations: &[Arc<Organisation>]) -> Self {
@@ -37,7 +37,7 @@
 
     /// Returns the organisation with this API key.
     #[must_use]
-    pub fn holder(&self, key: &[u8]) -> Option<&Arc<Organisation>> {
+    pub fn find(&self, key: &[u8]) -> Option<&Arc<Organisation>> {
         self.by_digest.get(&self.digest(key))
     }
 
--- a/crates/chicoryrail-policy/src/admission/freshness.rs
+++ b/crates/chicoryrail-policy/src/admission/freshness.rs
@@ -21,7 +21,7 @@
 
 impl Freshness {
     /// Records that the configuration was current at `at`. An older moment than the recorded one changes nothing.
-    pub fn prove(&mut self, at: Millis) {
+    pub fn mark_current(&mut self, at: Millis) {
         self.current_at = self.current_at.max(Some(at));
     }
 
@@ -34,7 +34,7 @@
     /// Returns `true` if API keys may be accepted without accepting one later than `bound` after its removal. The bound
     /// is shortened by the possible clock drift and by rounding.
     #[must_use]
-    pub fn holds(&self, now: Millis, bound: Millis) -> bool {
+    pub fn is_fresh(&self, now: Millis, bound: Millis) -> bool {
         let usable = bound.since(Millis(bound.0 / CLOCK_DRIFT_DIVISOR) + ROUNDING_MARGIN);
         self.age(now).is_some_and(|age| age < usable)
     }
--- a/crates/chicoryrail-policy/src/admission/mod.rs
+++ b/crates/chicoryrail-policy/src/admission/mod.rs
@@ -1,7 +1,7 @@
 //! Identifies the organisation of a request, and checks that this host's configuration is recent enough to do so.
 
+mod api_key_index;
 mod freshness;
-mod key_index;
 
+pub use api_key_index::ApiKeyIndex;
 pub use freshness::Freshness;
-pub use key_index::KeyIndex;
--- a/crates/chicoryrail-policy/src/shared/server_limit.rs
+++ b/crates/chicoryrail-policy/src/local/advertised_limit.rs
@@ -12,14 +12,14 @@
 
 /// Rate that a server's answer advertises.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RateNotice {
+pub enum AdvertisedRate {
     /// Any rate.
     Unlimited,
     /// Requests per second from all hosts together.
     Limited(f64),
 }
 
-impl RateNotice {
+impl AdvertisedRate {
     /// Parses the value of an answer's header; `None` stands for an answer without the header.
     ///
     /// # Errors
@@ -29,11 +29,11 @@
     /// # Example
     ///
     /// ```
-    /// use chicoryrail_policy::RateNotice;
+    /// use chicoryrail_policy::AdvertisedRate;
     ///
-    /// assert_eq!(RateNotice::parse(Some("2.5")), Ok(RateNotice::Limited(2.5)));
-    /// assert_eq!(RateNotice::parse(None), Ok(RateNotice::Unlimited));
-    /// assert_eq!(RateNotice::parse(Some("-1")), Err("-1"));
+    /// assert_eq!(AdvertisedRate::parse(Some("2.5")), Ok(AdvertisedRate::Limited(2.5)));
+    /// assert_eq!(AdvertisedRate::parse(None), Ok(AdvertisedRate::Unlimited));
+    /// assert_eq!(AdvertisedRate::parse(Some("-1")), Err("-1"));
     /// ```
     pub fn parse(value: Option<&str>) -> Result<Self, &str> {
         let Some(text) = value else {
@@ -48,22 +48,24 @@
 
 /// Rate limit of a server, as advertised by its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ServerLimit {
+pub struct AdvertisedLimit {
     rate: Option<f64>,
     seen_at: Millis,
 }
 
-impl ServerLimit {
+impl AdvertisedLimit {
     /// Applies the rate that an answer advertises. Returns `true` if the limit changed.
-    pub fn heard(&mut self, now: Millis, notice: RateNotice) -> bool {
+    pub fn record(&mut self, now: Millis, notice: AdvertisedRate) -> bool {
         let before = self.rate(now);
         match notice {
-            RateNotice::Limited(rate) => {
+            AdvertisedRate::Limited(rate) => {
                 self.rate = Some(rate);
                 self.seen_at = now;
             }
-            RateNotice::Unlimited if now.since(self.seen_at) >= LIMIT_HOLD_TIME => self.rate = None,
-            RateNotice::Unlimited => {}
+            AdvertisedRate::Unlimited if now.since(self.seen_at) >= LIMIT_HOLD_TIME => {
+                self.rate = None
+            }
+            AdvertisedRate::Unlimited => {}
         }
         self.rate(now) != before
     }
--- a/crates/chicoryrail-policy/src/shared/load_report.rs
+++ b/crates/chicoryrail-policy/src/local/load_report.rs
@@ -10,12 +10,12 @@
     /// Number of requests that it processes concurrently at most.
     pub slots: u32,
     /// Current time for work, in percent of the usual time.
-    pub pace: u32,
+    pub slowdown_percent: u32,
 }
 
 impl LoadReport {
-    /// Parses `running,waiting,slots[,pace]`; returns `None` for any other text. Without `pace` the time is the usual
-    /// one.
+    /// Parses `running,waiting,slots[,slowdown]`; returns `None` for any other text. Without the slowdown, the time
+    /// is the usual one.
     ///
     /// # Example
     ///
@@ -23,8 +23,8 @@
     /// use chicoryrail_policy::LoadReport;
     ///
     /// let report = LoadReport::parse("2,1,2,300").unwrap();
-    /// assert_eq!((report.waiting, report.pace), (1, 300));
-    /// assert_eq!(LoadReport::parse("3,0,8").unwrap().pace, 100);
+    /// assert_eq!((report.waiting, report.slowdown_percent), (1, 300));
+    /// assert_eq!(LoadReport::parse("3,0,8").unwrap().slowdown_percent, 100);
     /// assert!(LoadReport::parse("3,x,8").is_none());
     /// ```
     #[must_use]
@@ -34,12 +34,12 @@
         let running = next()??;
         let waiting = next()??;
         let slots = next()??;
-        let pace = next()?.unwrap_or(100);
+        let slowdown_percent = next()?.unwrap_or(100);
         Some(Self {
             running,
             waiting,
             slots,
-            pace: pace.clamp(1, 10_000),
+            slowdown_percent: slowdown_percent.clamp(1, 10_000),
         })
     }
 }
--- a/crates/chicoryrail-policy/src/shared/servers.rs
+++ b/crates/chicoryrail-policy/src/local/local_balancer.rs
@@ -8,7 +8,7 @@
 use crate::Failure;
 use crate::LoadReport;
 use crate::ServerId;
-use crate::shared::server_view::ServerView;
+use crate::local::server_view::ServerView;
 
 /// Maximum number of requests queued at a server in addition to those in its slots. Servers queue a few; beyond that
 /// some reset the connection, and a request that must not run twice is lost.
@@ -24,11 +24,11 @@
 /// has the least expected time to a successful answer, by its slowness, the work queued in front of its slots and its
 /// failure rate.
 #[derive(Clone, Debug, Default)]
-pub struct SharedServers {
+pub struct LocalBalancer {
     views: HashMap<ServerId, ServerView>,
 }
 
-impl SharedServers {
+impl LocalBalancer {
     /// Adds a server, or updates its number of slots.
     pub fn set(&mut self, server: ServerId, slots: u32) {
         let view = self.views.entry(server);
@@ -36,7 +36,7 @@
     }
 
     /// Removes a server.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn remove(&mut self, server: ServerId) {
         self.views.remove(&server);
     }
 
@@ -48,7 +48,7 @@
         servers: &[ServerId],
         work_us: f64,
     ) -> Option<ServerId> {
-        let available = servers.iter().filter(|s| self.has_room(now, **s));
+        let available = servers.iter().filter(|s| self.has_capacity(now, **s));
         let costs = available.map(|s| {
             let cost = self.cost(now, *s, work_us);
             (cost * (1.0 + JITTER * rng.random::<f64>()), *s)
@@ -59,7 +59,7 @@
 
     /// Returns `true` if a server has capacity for one more request.
     #[must_use]
-    pub fn has_room(&self, now: Millis, server: ServerId) -> bool {
+    pub fn has_capacity(&self, now: Millis, server: ServerId) -> bool {
         self.views.get(&server).is_some_and(|v| {
             let limit = f64::from(v.slots) + QUEUE_LENGTH_MAX;
             !v.is_paused(now) && v.load(now) + 1.0 <= limit
@@ -68,7 +68,7 @@
 
     /// Estimates the time until a server without capacity has some.
     #[must_use]
-    pub fn room_in(&self, now: Millis, server: ServerId, work_us: f64) -> Millis {
+    pub fn capacity_in(&self, now: Millis, server: ServerId, work_us: f64) -> Millis {
         self.views.get(&server).map_or(Millis::ZERO, |v| {
             let excess = (v.load(now) + 1.0 - f64::from(v.slots)).max(0.5);
             let wait_us = excess * work_us * v.slowness(now) / f64::from(v.slots);
@@ -90,28 +90,28 @@
     }
 
     /// Records that a request is sent.
-    pub fn sent(&mut self, server: ServerId) {
+    pub fn record_send(&mut self, server: ServerId) {
         if let Some(view) = self.views.get_mut(&server) {
             view.own_requests += 1;
         }
     }
 
     /// Records that a request is no longer in flight, however it ended.
-    pub fn ended(&mut self, server: ServerId) {
+    pub fn record_end(&mut self, server: ServerId) {
         if let Some(view) = self.views.get_mut(&server) {
             view.own_requests = view.own_requests.saturating_sub(1);
         }
     }
 
     /// Applies a server's load report.
-    pub fn heard(&mut self, now: Millis, server: ServerId, report: LoadReport) {
+    pub fn apply_report(&mut self, now: Millis, server: ServerId, report: LoadReport) {
         if let Some(view) = self.views.get_mut(&server) {
             view.apply_report(now, report);
         }
     }
 
     /// Records how long an answer took; `had_slot` is `true` if the request found a free slot.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Millis,
         server: ServerId,
@@ -125,7 +125,7 @@
     }
 
     /// Records a failure.
-    pub fn failed(&mut self, now: Millis, server: ServerId, failure: Failure) {
+    pub fn record_failure(&mut self, now: Millis, server: ServerId, failure: Failure) {
         if let Some(view) = self.views.get_mut(&server) {
             view.record_failure(now, failure);
         }
@@ -133,7 +133,7 @@
 
     /// Returns `true` if a request that is sent now is expected to find a free slot.
     #[must_use]
-    pub fn is_free(&self, now: Millis, server: ServerId) -> bool {
+    pub fn has_free_slot(&self, now: Millis, server: ServerId) -> bool {
         self.views
             .get(&server)
             .is_some_and(|v| v.load(now) < f64::from(v.slots))
--- /dev/null
+++ b/crates/chicoryrail-policy/src/local/mod.rs
@@ -0,0 +1,25 @@
+//! Load balancing over servers that many hosts send to without coordination.
+//!
+//! A host knows its own requests in flight exactly, and learns of those of other hosts from the load that a server
+//! reports with each answer. [`LocalBalancer`] selects among the servers of a service; [`WarmupPacer`] and
+//! [`RetryBudget`] limit a host to its share of a bound that holds over all hosts together.
+
+mod advertised_limit;
+mod load_report;
+mod local_balancer;
+mod retry_after;
+mod retry_budget;
+pub(crate) mod server_view;
+mod warmup_pacer;
+mod weights;
+
+pub use advertised_limit::AdvertisedLimit;
+pub use advertised_limit::AdvertisedRate;
+pub use load_report::LoadReport;
+pub use local_balancer::LocalBalancer;
+pub use retry_after::retry_after;
+pub use retry_budget::RetryBudget;
+pub use retry_budget::RetryLimits;
+pub use server_view::Failure;
+pub use warmup_pacer::WarmupPacer;
+pub use weights::WeightedRoundRobin;
--- a/crates/chicoryrail-policy/src/shared/return_time.rs
+++ b/crates/chicoryrail-policy/src/local/retry_after.rs
@@ -15,7 +15,7 @@
 ///
 /// Guards against callers that are refused at the same moment, all retry at the same moment, and are mostly refused
 /// again, this time for good. The retries are spread over an interval as long as the wait for capacity.
-pub fn return_time(rng: &mut impl Rng, capacity_in: Millis, time_left: Millis) -> Millis {
+pub fn retry_after(rng: &mut impl Rng, capacity_in: Millis, time_left: Millis) -> Millis {
     let latest = Millis(time_left.0 / RETRY_AFTER_DIVISOR);
     let first = capacity_in.max(RETRY_AFTER_MIN).min(latest);
     let last = (first + capacity_in.max(RETRY_AFTER_MIN)).min(latest);
--- a/crates/chicoryrail-policy/src/shared/retries.rs
+++ b/crates/chicoryrail-policy/src/local/retry_budget.rs
@@ -17,7 +17,7 @@
 /// retries are the load that keeps the servers down. Over a window, retries stay below a fraction of the host's own
 /// requests plus its share of a fixed allowance. So the bound holds over all hosts without communication between them.
 #[derive(Clone, Debug, Default)]
-pub struct SharedRetries {
+pub struct RetryBudget {
     steps: VecDeque<Step>,
 }
 
@@ -30,7 +30,7 @@
 
 /// Bound on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryBound {
+pub struct RetryLimits {
     /// Retries per request in the window.
     pub ratio: f64,
     /// Retries in addition to those, over all hosts.
@@ -41,31 +41,32 @@
     pub hosts: usize,
 }
 
-impl SharedRetries {
+impl RetryBudget {
     /// Records a caller's request.
-    pub fn request(&mut self, now: Millis, bound: &RetryBound) {
-        self.current_step(now, bound).requests += 1;
+    pub fn record_request(&mut self, now: Millis, limits: &RetryLimits) {
+        self.current_step(now, limits).requests += 1;
     }
 
     /// Returns `true` if a request may be sent again, and counts the retry.
-    pub fn take(&mut self, now: Millis, bound: &RetryBound) -> bool {
-        self.current_step(now, bound);
+    pub fn try_take(&mut self, now: Millis, limits: &RetryLimits) -> bool {
+        self.current_step(now, limits);
         let requests: u32 = self.steps.iter().map(|s| s.requests).sum();
         let retries: u32 = self.steps.iter().map(|s| s.retries).sum();
-        let own_bound = bound.ratio * f64::from(requests) + bound.slack / bound.hosts.max(1) as f64;
+        let own_bound =
+            limits.ratio * f64::from(requests) + limits.slack / limits.hosts.max(1) as f64;
         let is_allowed = f64::from(retries + 1) <= own_bound * BOUND_FRACTION;
         if is_allowed {
-            self.current_step(now, bound).retries += 1;
+            self.current_step(now, limits).retries += 1;
         }
         is_allowed
     }
 
-    fn current_step(&mut self, now: Millis, bound: &RetryBound) -> &mut Step {
+    fn current_step(&mut self, now: Millis, limits: &RetryLimits) -> &mut Step {
         let at = Millis(now.0 / STEP_LENGTH.0 * STEP_LENGTH.0);
         while self
             .steps
             .front()
-            .is_some_and(|s| now.since(s.at) > bound.window)
+            .is_some_and(|s| now.since(s.at) > limits.window)
         {
             self.steps.pop_front();
         }
--- a/crates/chicoryrail-policy/src/shared/server_view.rs
+++ b/crates/chicoryrail-policy/src/local/server_view.rs
@@ -96,7 +96,7 @@
         self.slots = report.slots.max(1);
         let total = f64::from(report.running + report.waiting);
         self.other_requests = (total - f64::from(self.own_requests)).max(0.0);
-        self.slowdown = f64::from(report.pace) / 100.0;
+        self.slowdown = f64::from(report.slowdown_percent) / 100.0;
         self.reported_at = now;
     }
 
--- a/crates/chicoryrail-policy/src/shared/cold_pace.rs
+++ b/crates/chicoryrail-policy/src/local/warmup_pacer.rs
@@ -12,15 +12,15 @@
 /// Together the hosts would send more than a server can process during its warm-up, and it would fail again. Each host
 /// keeps to its share of the rate on its own, so the rate also holds between hosts that can't reach each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ColdPace {
+pub struct WarmupPacer {
     next_send: Millis,
 }
 
-impl ColdPace {
+impl WarmupPacer {
     /// Returns `true` if a request may be sent now, and counts it as sent.
     ///
     /// `bound` is the number of requests per second, from all `hosts` together, that the server can process.
-    pub fn take(&mut self, now: Millis, bound: f64, hosts: usize) -> bool {
+    pub fn try_take(&mut self, now: Millis, bound: f64, hosts: usize) -> bool {
         if now < self.next_send || bound <= 0.0 {
             return false;
         }
--- a/crates/chicoryrail-policy/src/shared/weights.rs
+++ b/crates/chicoryrail-policy/src/local/weights.rs
@@ -6,12 +6,12 @@
 /// gives the choice of weight 10 half or twice its share over some seconds; in turns, the error is never more than one
 /// request.
 #[derive(Clone, Debug, Default)]
-pub struct WeightedTurn {
+pub struct WeightedRoundRobin {
     weights: Vec<u32>,
     credit: Vec<i64>,
 }
 
-impl WeightedTurn {
+impl WeightedRoundRobin {
     /// Returns the index of the next choice. `start` (0 to 1) shifts the first turn, so that many hosts don't all begin
     /// with the choice of the greatest weight.
     pub fn next(&mut self, weights: &[u32], start: f64) -> usize {
--- a/crates/chicoryrail-policy/src/quota/mod.rs
+++ b/crates/chicoryrail-policy/src/quota/mod.rs
@@ -2,22 +2,22 @@
 //!
 //! One host, the leader, holds a [`QuotaPool`] for each organisation with a limit. Schedulers lease tokens from it
 //! ahead of demand, each in a [`QuotaShare`], so that no request waits for a token. A host that reaches no scheduler
-//! spends a small fraction of the limit on its own, a [`LoneShare`].
+//! spends a small fraction of the limit on its own, a [`StandaloneShare`].
 
-mod allowance;
-mod lone_share;
 mod quota_pool;
 mod quota_share;
+mod quota_tolerance;
+mod standalone_share;
 
 mod sliding_window;
 mod token_bucket;
 
-pub use allowance::Allowance;
-pub use lone_share::LoneShare;
-pub use quota_pool::PoolBound;
+pub use quota_pool::PoolParams;
 pub use quota_pool::QuotaPool;
-pub use quota_share::LONE_AFTER;
+pub use quota_share::QUOTA_LEADER_TIMEOUT;
 pub use quota_share::QuotaGrant;
 pub use quota_share::QuotaReport;
 pub use quota_share::QuotaShare;
-pub use quota_share::ShareBound;
+pub use quota_share::ShareParams;
+pub use quota_tolerance::QuotaTolerance;
+pub use standalone_share::StandaloneShare;
--- a/crates/chicoryrail-policy/src/quota/quota_pool.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_pool.rs
@@ -6,9 +6,9 @@
 use chicoryrail_core::Millis;
 use chicoryrail_core::QuotaLimit;
 
-use crate::quota::Allowance;
 use crate::quota::QuotaGrant;
 use crate::quota::QuotaReport;
+use crate::quota::QuotaTolerance;
 use crate::quota::sliding_window::SlidingWindow;
 use crate::quota::token_bucket::TokenBucket;
 
@@ -54,23 +54,23 @@
 
 /// Limits within which the leader grants tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PoolBound {
+pub struct PoolParams {
     /// Term of the leader.
     pub term: u64,
     /// Limit of the organisation.
     pub limit: QuotaLimit,
     /// Tolerance by which the limit may be exceeded.
-    pub allowance: Allowance,
+    pub tolerance: QuotaTolerance,
     /// Number of schedulers.
     pub schedulers: usize,
     /// Fraction of the schedulers that report to this leader. The others spend their shares of the limit on their own.
-    pub heard_part: f64,
+    pub connected_fraction: f64,
 }
 
-impl PoolBound {
+impl PoolParams {
     /// Returns the number of tokens that may be granted in addition to the limit.
     fn burst_extra(&self) -> f64 {
-        self.allowance.burst_extra(self.limit)
+        self.tolerance.burst_extra(self.limit)
     }
 }
 
@@ -78,7 +78,7 @@
     /// Returns the pool of a leader whose term began at `started`. The leader does not know what was admitted before,
     /// so it assumes as much as the limit allows.
     #[must_use]
-    pub const fn from(started: Millis) -> Self {
+    pub const fn new(started: Millis) -> Self {
         Self {
             started,
             admitted: None,
@@ -93,11 +93,11 @@
         now: Millis,
         host: &HostName,
         report: QuotaReport,
-        bound: &PoolBound,
+        params: &PoolParams,
     ) -> QuotaGrant {
         self.expire_silent(now);
-        self.apply_report(now, host, report, bound);
-        let in_window = self.free_in_window(now, bound);
+        self.apply_report(now, host, report, params);
+        let in_window = self.free_in_window(now, params);
         let available = in_window.min(self.bucket.tokens);
         let needs: f64 = self.leases.values().map(HostLease::need).sum();
         let lease = self.leases.entry(host.clone()).or_default();
@@ -113,35 +113,35 @@
         lease.granted += new_tokens as u64;
         lease.held += new_tokens as i64;
         QuotaGrant {
-            term: bound.term,
+            term: params.term,
             granted: lease.granted,
             exhausted: in_window - new_tokens < 1.0,
         }
     }
 
     /// Returns the tokens left in the window, and refills the bucket of tokens that may be granted at once.
-    fn free_in_window(&mut self, now: Millis, bound: &PoolBound) -> f64 {
-        let window = bound.allowance.window;
-        let window_limit = bound.allowance.window_limit(bound.limit);
-        let limit = window_limit * bound.heard_part.clamp(0.0, 1.0);
+    fn free_in_window(&mut self, now: Millis, params: &PoolParams) -> f64 {
+        let window = params.tolerance.window;
+        let window_limit = params.tolerance.window_limit(params.limit);
+        let limit = window_limit * params.connected_fraction.clamp(0.0, 1.0);
         let held: i64 = self.leases.values().map(|l| l.held.max(0)).sum();
-        let admitted = self.window(bound).count(now);
+        let admitted = self.window(params).count(now);
         let rate = limit * 1_000.0 / window.0.max(1) as f64;
-        let capacity = (bound.limit.burst + bound.burst_extra() - held as f64).max(0.0);
+        let capacity = (params.limit.burst + params.burst_extra() - held as f64).max(0.0);
         self.bucket.refill(now, rate, capacity);
-        limit + bound.burst_extra() - admitted - held as f64
+        limit + params.burst_extra() - admitted - held as f64
     }
 
     /// Returns the admitted requests in the window. The leader does not know what was admitted before its term, so it
     /// assumes as much as the limit allows, with the burst as late as possible.
-    fn window(&mut self, bound: &PoolBound) -> &mut SlidingWindow {
-        let Allowance { window, .. } = bound.allowance;
-        let limit = bound.limit;
+    fn window(&mut self, params: &PoolParams) -> &mut SlidingWindow {
+        let QuotaTolerance { window, .. } = params.tolerance;
+        let limit = params.limit;
         self.admitted.get_or_insert_with(|| {
-            let window_limit = bound.allowance.window_limit(limit);
+            let window_limit = params.tolerance.window_limit(limit);
             let mut admitted =
                 SlidingWindow::filled(self.started, window, window_limit - limit.burst);
-            admitted.add(self.started, limit.burst + bound.burst_extra());
+            admitted.add(self.started, limit.burst + params.burst_extra());
             admitted
         })
     }
@@ -166,13 +166,13 @@
         now: Millis,
         host: &HostName,
         report: QuotaReport,
-        bound: &PoolBound,
+        params: &PoolParams,
     ) {
         let previous = self.leases.get(host).copied();
-        let previous = previous.filter(|_| report.term == bound.term);
+        let previous = previous.filter(|_| report.term == params.term);
         let lease = match previous {
-            Some(previous) => self.update_lease(now, previous, report, bound),
-            None => self.new_lease(now, host, report, bound),
+            Some(previous) => self.update_lease(now, previous, report, params),
+            None => self.new_lease(now, host, report, params),
         };
         self.leases.insert(host.clone(), lease);
     }
@@ -182,10 +182,10 @@
         now: Millis,
         previous: HostLease,
         report: QuotaReport,
-        bound: &PoolBound,
+        params: &PoolParams,
     ) -> HostLease {
         let spent = report.spent - previous.spent;
-        self.window(bound).add(now, spent as f64);
+        self.window(params).add(now, spent as f64);
         let returned = report.returned.saturating_sub(previous.returned);
         self.bucket.tokens += returned as f64;
         // Tokens of grants that the host has not received yet count as held.
@@ -208,11 +208,11 @@
         now: Millis,
         host: &HostName,
         report: QuotaReport,
-        bound: &PoolBound,
+        params: &PoolParams,
     ) -> HostLease {
-        let window = bound.allowance.window;
+        let window = params.tolerance.window;
         let unobserved = now.since(self.started).min(window);
-        let share = bound.allowance.window_limit(bound.limit) / bound.schedulers.max(1) as f64;
+        let share = params.tolerance.window_limit(params.limit) / params.schedulers.max(1) as f64;
         let admitted = share * unobserved.0 as f64 / window.0.max(1) as f64;
         // Tokens that the host still holds were not spent, although the window assumes that all tokens were. The host
         // repeats its report until it receives an answer, so they are subtracted only once.
@@ -220,7 +220,7 @@
             true => 0.0,
             false => report.held.max(0) as f64,
         };
-        self.window(bound).add(now, admitted - unspent);
+        self.window(params).add(now, admitted - unspent);
         HostLease {
             granted: 0,
             returned: 0,
--- a/crates/chicoryrail-policy/src/quota/quota_share.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_share.rs
@@ -5,13 +5,13 @@
 use chicoryrail_core::Millis;
 use chicoryrail_core::QuotaLimit;
 
-use crate::quota::Allowance;
+use crate::quota::QuotaTolerance;
 use crate::quota::token_bucket::TokenBucket;
 use crate::quota::token_bucket::time_to_refill;
 
 /// Time without an answer from the leader after which a host spends its own share of each limit. The leader uses the
 /// same time.
-pub const LONE_AFTER: Millis = Millis(500);
+pub const QUOTA_LEADER_TIMEOUT: Millis = Millis(500);
 
 /// Duration of demand for which tokens are leased ahead.
 const LEASE_AHEAD_MS: f64 = 300.0;
@@ -58,20 +58,20 @@
 
 /// Limit and state of the leader that a share is used under.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ShareBound {
+pub struct ShareParams {
     /// Limit of the organisation.
     pub limit: QuotaLimit,
     /// Number of schedulers.
     pub schedulers: usize,
-    /// Whether the leader has not answered for so long that it counts this host as isolated.
-    pub lone: bool,
+    /// Whether the leader has not answered for so long that it counts this host as standalone.
+    pub standalone: bool,
     /// Tolerance by which the limit may be exceeded.
-    pub allowance: Allowance,
+    pub tolerance: QuotaTolerance,
 }
 
-impl ShareBound {
+impl ShareParams {
     fn base_tokens(&self) -> i64 {
-        self.allowance.base_tokens(self.limit, self.schedulers) as i64
+        self.tolerance.base_tokens(self.limit, self.schedulers) as i64
     }
 }
 
@@ -89,8 +89,8 @@
     spent: i64,
     held: i64,
     /// Tokens that accumulate while the leader does not answer.
-    fallback: TokenBucket,
-    was_isolated: bool,
+    standalone_tokens: TokenBucket,
+    was_standalone: bool,
     /// Whether the limit was reached at the leader's last answer.
     exhausted: bool,
     /// Requests for a token since the last report.
@@ -109,8 +109,8 @@
             returned: 0,
             spent: 0,
             held: 0,
-            fallback: TokenBucket::empty(Millis::ZERO),
-            was_isolated: false,
+            standalone_tokens: TokenBucket::empty(Millis::ZERO),
+            was_standalone: false,
             exhausted: false,
             requested: 0,
             demand: 0.0,
@@ -125,17 +125,17 @@
     /// # Errors
     ///
     /// Returns the time until a token may be available.
-    pub fn take(&mut self, now: Millis, bound: &ShareBound) -> Result<(), Millis> {
+    pub fn try_take(&mut self, now: Millis, params: &ShareParams) -> Result<(), Millis> {
         self.requested += 1;
-        let schedulers = bound.schedulers.max(1) as f64;
-        let own_rate = bound.limit.rate / schedulers;
-        if bound.lone {
-            self.refill_fallback(now, own_rate, (bound.limit.burst / schedulers).max(1.0));
+        let schedulers = params.schedulers.max(1) as f64;
+        let own_rate = params.limit.rate / schedulers;
+        if params.standalone {
+            self.refill_standalone(now, own_rate, (params.limit.burst / schedulers).max(1.0));
         } else {
-            self.fallback = TokenBucket::empty(now);
-            self.was_isolated = false;
+            self.standalone_tokens = TokenBucket::empty(now);
+            self.was_standalone = false;
         }
-        let advance = (bound.allowance.advance_requests(bound.limit) / schedulers) as i64;
+        let advance = (params.tolerance.advance_requests(params.limit) / schedulers) as i64;
         if self.held - 1 < -advance {
             return Err(time_to_refill(1.0 - self.held as f64, own_rate));
         }
@@ -146,52 +146,52 @@
 
     /// Adds the tokens of this host's own share, at `rate` per second, up to `capacity`. The leader counts the tokens
     /// that it granted as spent by now, so they are dropped.
-    fn refill_fallback(&mut self, now: Millis, rate: f64, capacity: f64) {
-        if !self.was_isolated {
+    fn refill_standalone(&mut self, now: Millis, rate: f64, capacity: f64) {
+        if !self.was_standalone {
             self.held = self.held.min(0);
-            self.was_isolated = true;
+            self.was_standalone = true;
         }
-        self.fallback.refill(now, rate, capacity);
-        let whole_tokens = self.fallback.tokens.floor();
-        self.fallback.tokens -= whole_tokens;
+        self.standalone_tokens.refill(now, rate, capacity);
+        let whole_tokens = self.standalone_tokens.tokens.floor();
+        self.standalone_tokens.tokens -= whole_tokens;
         self.held = (self.held + whole_tokens as i64).min(capacity as i64);
     }
 
     /// Returns the token of a request that did not run.
-    pub fn give_back(&mut self) {
+    pub fn refund(&mut self) {
         self.held += 1;
         self.spent -= 1;
     }
 
     /// Returns `true` if a request without a token may wait for one: as far as is known, the leader has some.
     #[must_use]
-    pub const fn may_wait(&self, bound: &ShareBound) -> bool {
-        !bound.lone && !self.exhausted
+    pub const fn can_wait(&self, params: &ShareParams) -> bool {
+        !params.standalone && !self.exhausted
     }
 
     /// Returns `true` if a report is due.
     #[must_use]
-    pub fn is_due(&self, now: Millis, bound: &ShareBound) -> bool {
-        let want = self.want(bound);
+    pub fn is_due(&self, now: Millis, params: &ShareParams) -> bool {
+        let want = self.want(params);
         let in_range = (want..=want * SURPLUS_FACTOR).contains(&self.held);
         self.requested > 0 || !in_range || now.since(self.reported_at) >= REPORT_INTERVAL_MAX
     }
 
     /// Returns `true` if so few tokens are left that the host should report at once to get more.
     #[must_use]
-    pub fn is_low(&self, bound: &ShareBound) -> bool {
-        self.held <= self.want(bound) / 2
+    pub fn is_low(&self, params: &ShareParams) -> bool {
+        self.held <= self.want(params) / 2
     }
 
     /// Returns the report to the leader, and returns surplus tokens.
-    pub fn report(&mut self, now: Millis, bound: &ShareBound) -> QuotaReport {
+    pub fn report(&mut self, now: Millis, params: &ShareParams) -> QuotaReport {
         let elapsed = now.since(self.reported_at).0.max(1) as f64;
         let current = f64::from(self.requested) / elapsed;
         let weight = (elapsed / DEMAND_AVERAGE_MS).min(1.0);
         self.demand += (current - self.demand) * weight;
         self.requested = 0;
         self.reported_at = now;
-        let want = self.want(bound);
+        let want = self.want(params);
         if self.held > want * SURPLUS_FACTOR {
             self.returned += (self.held - want) as u64;
             self.held = want;
@@ -206,7 +206,7 @@
         }
     }
 
-    fn want(&self, bound: &ShareBound) -> i64 {
+    fn want(&self, params: &ShareParams) -> i64 {
         let needed = self.demand * LEASE_AHEAD_MS;
         // A single request long ago holds no token that other schedulers need.
         let needed = if needed < LEASE_TOKENS_MIN {
@@ -214,11 +214,11 @@
         } else {
             needed
         };
-        (needed.ceil() as i64).max(bound.base_tokens())
+        (needed.ceil() as i64).max(params.base_tokens())
     }
 
     /// Applies a grant of the leader. A grant of an earlier term changes nothing.
-    pub fn grant(&mut self, grant: QuotaGrant) {
+    pub fn apply_grant(&mut self, grant: QuotaGrant) {
         if grant.term < self.term {
             return;
         }
--- a/crates/chicoryrail-policy/src/quota/allowance.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_tolerance.rs
@@ -17,16 +17,16 @@
 
 /// Tolerance by which every limit may be exceeded, summed over all hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Allowance {
+pub struct QuotaTolerance {
     /// Fraction of the limit.
-    pub over: f64,
+    pub ratio: f64,
     /// Requests in addition to that fraction.
     pub slack: f64,
     /// Window over which requests are counted.
     pub window: Millis,
 }
 
-impl Allowance {
+impl QuotaTolerance {
     /// Returns the number of requests that a limit allows in a window.
     #[must_use]
     pub fn window_limit(&self, limit: QuotaLimit) -> f64 {
@@ -35,18 +35,18 @@
 
     /// Returns the number of requests by which a limit may be exceeded in a window.
     #[must_use]
-    pub fn requests(&self, limit: QuotaLimit) -> f64 {
-        self.window_limit(limit) * self.over + self.slack
+    pub fn extra_requests(&self, limit: QuotaLimit) -> f64 {
+        self.window_limit(limit) * self.ratio + self.slack
     }
 
     /// Returns the number of requests that all schedulers together may admit before they receive the tokens.
     pub(crate) fn advance_requests(&self, limit: QuotaLimit) -> f64 {
-        self.requests(limit) * ADVANCE_FRACTION
+        self.extra_requests(limit) * ADVANCE_FRACTION
     }
 
     /// Returns the number of tokens that may accumulate in addition to the burst.
     pub(crate) fn burst_extra(&self, limit: QuotaLimit) -> f64 {
-        self.requests(limit) * BURST_EXTRA_FRACTION
+        self.extra_requests(limit) * BURST_EXTRA_FRACTION
     }
 
     /// Returns the number of tokens that each scheduler holds of a limit without demand, so that a first request finds
--- a/crates/chicoryrail-policy/src/quota/lone_share.rs
+++ b/crates/chicoryrail-policy/src/quota/standalone_share.rs
@@ -8,15 +8,15 @@
 
 /// Fraction of the limit that all hosts together have for requests that no scheduler counts. It lies within the
 /// tolerance by which a limit may be exceeded, so the leader need not know which hosts these are.
-const FALLBACK_FRACTION: f64 = 0.2;
+const STANDALONE_FRACTION: f64 = 0.2;
 
 /// Tokens of one organisation at a host that reaches no scheduler.
 #[derive(Clone, Copy, Debug)]
-pub struct LoneShare {
+pub struct StandaloneShare {
     bucket: TokenBucket,
 }
 
-impl Default for LoneShare {
+impl Default for StandaloneShare {
     fn default() -> Self {
         Self {
             bucket: TokenBucket::empty(Millis::ZERO),
@@ -24,14 +24,14 @@
     }
 }
 
-impl LoneShare {
+impl StandaloneShare {
     /// Takes a token for a request. `hosts` is the number of hosts that share the organisation's limit.
     ///
     /// # Errors
     ///
     /// Returns the time until a token is available.
-    pub fn take(&mut self, now: Millis, limit: QuotaLimit, hosts: usize) -> Result<(), Millis> {
-        let rate = limit.rate * FALLBACK_FRACTION / hosts.max(1) as f64;
+    pub fn try_take(&mut self, now: Millis, limit: QuotaLimit, hosts: usize) -> Result<(), Millis> {
+        let rate = limit.rate * STANDALONE_FRACTION / hosts.max(1) as f64;
         self.bucket.refill(now, rate, rate.max(1.0));
         if self.bucket.tokens < 1.0 {
             return Err(time_to_refill(1.0 - self.bucket.tokens, rate));
--- a/crates/chicoryrail-policy/src/scheduler/load_view.rs
+++ b/crates/chicoryrail-policy/src/scheduler/load_view.rs
@@ -57,7 +57,7 @@
         now: Millis,
         servers: impl Iterator<Item = (ServerId, &'a ServerSlots)>,
     ) -> Self {
-        let open = servers.filter(|(_, s)| s.state.open);
+        let open = servers.filter(|(_, s)| s.state.accepting);
         let mut view = Self {
             now,
             servers: open.map(|(id, s)| ServerLoad::new(now, id, s)).collect(),
@@ -104,19 +104,23 @@
     ) -> Option<ServerId> {
         match placement {
             Placement::Any => {}
-            Placement::Moving => return None,
+            Placement::Unassigned => return None,
             Placement::Owner(owner) => return self.server(owner)?.has_slot.then_some(owner),
         }
         if self.free_servers == 0 {
             return None;
         }
         // The requests ahead wait for the full servers, too.
-        let excluded = request.not.iter().filter_map(|id| self.server(*id));
+        let excluded = request.excluded.iter().filter_map(|id| self.server(*id));
         let excluded: f64 = excluded.filter(|g| !g.has_slot).map(|g| g.capacity).sum();
         let queue_wait = ahead_us / (self.full_capacity - excluded).max(CAPACITY_MIN);
         let mut best: Option<(f64, ServerId)> = None;
         let mut min_wait = f64::INFINITY;
-        for load in self.servers.iter().filter(|g| !request.not.contains(&g.id)) {
+        for load in self
+            .servers
+            .iter()
+            .filter(|g| !request.excluded.contains(&g.id))
+        {
             let cost = load.cost(request);
             if load.has_slot {
                 if best.is_none_or(|(c, _)| cost < c) {
@@ -146,7 +150,7 @@
         }
         // The next owner of a moving key is assumed to be about as fast as any server.
         let excluded: &[ServerId] = match placement {
-            Placement::Any => &request.not,
+            Placement::Any => &request.excluded,
             _ => &[],
         };
         if !excluded.is_empty() {
@@ -186,17 +190,17 @@
             slowness,
             free_in_us: slots.free_in_us(now),
             has_slot: slots.has_slot(now),
-            warming_up: now < slots.state.cold_until,
+            warming_up: now < slots.state.warmup_until,
             retry_factor: 1.0 / (success_rate * success_rate),
             fill_cost,
             capacity: slots.capacity(now),
-            dc: slots.state.near,
+            dc: slots.state.dc_index,
         }
     }
 
     /// Estimates the time to a successful answer at a free server, in microseconds.
     fn cost(&self, request: &SlotRequest) -> f64 {
-        let remote_cost = match (self.dc == request.near, request.large) {
+        let remote_cost = match (self.dc == request.dc_index, request.large_response) {
             (true, _) => 0.0,
             (false, false) => REMOTE_COST,
             (false, true) => REMOTE_DOWNLOAD_COST,
--- a/crates/chicoryrail-policy/src/scheduler/mod.rs
+++ b/crates/chicoryrail-policy/src/scheduler/mod.rs
@@ -3,19 +3,19 @@
 //! Hosts that send without coordination each see only a tenth of a server's requests. Requests then queue at some
 //! servers while others have free slots, and no host knows which request should go first. A [`Scheduler`] receives a
 //! query before each send and a report after it, so it knows every slot exactly, keeps a single queue and enforces the
-//! limits that hold over all hosts. Hosts that can't reach it fall back to [`SharedServers`](crate::SharedServers).
+//! limits that hold over all hosts. Hosts that can't reach it fall back to [`LocalBalancer`](crate::LocalBalancer).
 
 mod load_view;
-mod part_rooms;
 mod rate_bucket;
+mod remote_free_slots;
 #[expect(clippy::module_inception, reason = "one type, one file")]
 mod scheduler;
 mod server_slots;
 mod slot_request;
 
-pub use part_rooms::PartRooms;
+pub use remote_free_slots::RemoteFreeSlots;
 pub use scheduler::Scheduler;
-pub use server_slots::SlotState;
+pub use server_slots::ServerStatus;
 pub use slot_request::Decision;
 pub use slot_request::Placement;
 pub use slot_request::SlotRelease;
--- a/crates/chicoryrail-policy/src/scheduler/part_rooms.rs
+++ b/crates/chicoryrail-policy/src/scheduler/remote_free_slots.rs
@@ -18,7 +18,7 @@
 /// callers are distributed over the data centres differently from the servers, or if a data centre's servers are lost
 /// or warming up. A data centre without a recent report gets no requests, so none is sent to one that is cut off.
 #[derive(Clone, Debug, Default)]
-pub struct PartRooms {
+pub struct RemoteFreeSlots {
     by_dc: BTreeMap<DcName, FreeSlots>,
 }
 
@@ -28,9 +28,9 @@
     received_at: Millis,
 }
 
-impl PartRooms {
+impl RemoteFreeSlots {
     /// Records the number of free slots in a data centre.
-    pub fn heard(&mut self, now: Millis, dc: &DcName, free: u32) {
+    pub fn update(&mut self, now: Millis, dc: &DcName, free: u32) {
         let slots = FreeSlots {
             free: free.div_ceil(FREE_SLOTS_DIVISOR),
             received_at: now,
@@ -39,7 +39,7 @@
     }
 
     /// Takes a free slot of a data centre other than `own`: the one with the most free slots.
-    pub fn take(&mut self, now: Millis, own: &DcName) -> Option<DcName> {
+    pub fn take_slot(&mut self, now: Millis, own: &DcName) -> Option<DcName> {
         let others = self.by_dc.iter_mut().filter(|(dc, _)| *dc != own);
         let fresh = others.filter(|(_, slots)| now.since(slots.received_at) <= FREE_SLOTS_AGE_MAX);
         let (dc, slots) = fresh.max_by_key(|(_, slots)| slots.free)?;
--- a/crates/chicoryrail-policy/src/scheduler/scheduler.rs
+++ b/crates/chicoryrail-policy/src/scheduler/scheduler.rs
@@ -7,9 +7,9 @@
 use crate::ServerId;
 use crate::scheduler::Decision;
 use crate::scheduler::Placement;
+use crate::scheduler::ServerStatus;
 use crate::scheduler::SlotRelease;
 use crate::scheduler::SlotRequest;
-use crate::scheduler::SlotState;
 use crate::scheduler::load_view::LoadView;
 use crate::scheduler::server_slots::ServerSlots;
 
@@ -45,7 +45,7 @@
 
 impl Scheduler {
     /// Adds a server, or updates its state.
-    pub fn set(&mut self, now: Millis, server: ServerId, state: SlotState) {
+    pub fn update_server(&mut self, now: Millis, server: ServerId, state: ServerStatus) {
         self.servers
             .entry(server)
             .or_insert_with(|| ServerSlots::new(now, state))
@@ -53,20 +53,20 @@
     }
 
     /// Removes the servers for which `keep` returns `false`.
-    pub fn retain(&mut self, keep: impl Fn(ServerId) -> bool) {
+    pub fn retain_servers(&mut self, keep: impl Fn(ServerId) -> bool) {
         self.servers.retain(|id, _| keep(*id));
     }
 
     /// Returns the number of known servers.
     #[must_use]
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
     /// Enqueues a request; [`Scheduler::poll`] returns the decision on it. The call is idempotent by ticket.
     ///
     /// Returns the server that the request was assigned to before, as the reply to an earlier query may have been lost.
-    pub fn ask(&mut self, now: Millis, request: SlotRequest) -> Option<ServerId> {
+    pub fn enqueue(&mut self, now: Millis, request: SlotRequest) -> Option<ServerId> {
         let servers = self.servers.iter();
         let assigned = servers
             .filter(|(_, s)| s.has_request(request.ticket))
@@ -88,20 +88,20 @@
     }
 
     /// Removes a request whose caller has cancelled.
-    pub fn leave(&mut self, ticket: u64) {
+    pub fn cancel(&mut self, ticket: u64) {
         self.waiting.retain(|w| w.request.ticket != ticket);
     }
 
     /// Iterates over the tickets and keys of the requests that wait for the owner of a key.
-    pub fn waiting_keys(&self) -> impl Iterator<Item = (u64, u16)> {
+    pub fn queued_keys(&self) -> impl Iterator<Item = (u64, u16)> {
         let waiting = self.waiting.iter();
         waiting.filter_map(|w| Some((w.request.ticket, w.request.key?)))
     }
 
     /// Records how a send ended.
-    pub fn ended(&mut self, now: Millis, end: &SlotRelease) {
+    pub fn release(&mut self, now: Millis, end: &SlotRelease) {
         if let Some(slots) = self.servers.get_mut(&end.server) {
-            slots.release(now, end.ticket, end.us, end.failure, end.report);
+            slots.release(now, end.ticket, end.elapsed_us, end.failure, end.report);
         }
     }
 
@@ -194,17 +194,17 @@
 
     /// Returns the number of waiting requests.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn queue_length(&self) -> usize {
         self.waiting.len()
     }
 
     /// Returns the number of requests at the servers that this host schedules, and the slots of those that accept work.
     #[must_use]
-    pub fn filled(&self) -> (usize, u32) {
-        let servers = self.servers.values().filter(|s| s.state.ours);
+    pub fn occupancy(&self) -> (usize, u32) {
+        let servers = self.servers.values().filter(|s| s.state.scheduled_here);
         let busy = servers.clone().map(ServerSlots::busy).sum();
         let slots = servers
-            .filter(|s| s.state.open)
+            .filter(|s| s.state.accepting)
             .map(|s| s.state.slots)
             .sum();
         (busy, slots)
@@ -212,14 +212,14 @@
 
     /// Returns the number of slots that are free now.
     #[must_use]
-    pub fn free(&self, now: Millis) -> usize {
+    pub fn free_slots(&self, now: Millis) -> usize {
         let servers = self.servers.values();
         servers.map(|s| s.free_slots(now)).sum()
     }
 
     /// Returns the observed mean time of a server relative to a usual one: above 1 is slower than usual.
     #[must_use]
-    pub fn speed(&self, server: ServerId) -> f64 {
+    pub fn slowness(&self, server: ServerId) -> f64 {
         self.servers
             .get(&server)
             .map_or(1.0, ServerSlots::mean_slowness)
@@ -236,9 +236,9 @@
     fn sort_queue(&mut self, now: Millis, view: &LoadView) {
         let key = |w: &WaitingRequest| {
             let earliest = view.answer_in_us(&w.request, w.placement, 0.0);
-            let in_time = earliest.is_some_and(|us| now + millis(us) <= w.request.aim);
+            let in_time = earliest.is_some_and(|us| now + millis(us) <= w.request.latency_target);
             if in_time {
-                (0, w.request.rank, w.request.aim)
+                (0, w.request.priority, w.request.latency_target)
             } else {
                 (1, 0, w.request.deadline)
             }
@@ -265,7 +265,7 @@
         };
         // In a standing queue, requests that can still meet their latency target overtake those that can't, so the
         // latter would wait in vain. They are refused at once.
-        let latency_left = request.aim.since(now).0 as f64 * 1_000.0;
+        let latency_left = request.latency_target.since(now).0 as f64 * 1_000.0;
         if answer_us > latency_left && self.has_standing_queue(now, waiting.placement) {
             return Err(millis(
                 (answer_us - latency_left).max(request.work_us * 0.5),
--- a/crates/chicoryrail-policy/src/scheduler/server_slots.rs
+++ b/crates/chicoryrail-policy/src/scheduler/server_slots.rs
@@ -7,8 +7,8 @@
 
 use crate::Failure;
 use crate::LoadReport;
+use crate::local::server_view::ServerView;
 use crate::scheduler::rate_bucket::RateBucket;
-use crate::shared::server_view::ServerView;
 
 /// Fraction of the warm-up rate that is used. While hosts disagree about which hosts are alive, two of them may
 /// schedule the same server.
@@ -27,35 +27,35 @@
 
 /// State of a server that a scheduler needs to assign requests to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SlotState {
+pub struct ServerStatus {
     /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it accepts new work.
-    pub open: bool,
+    pub accepting: bool,
     /// End of its warm-up.
-    pub cold_until: Millis,
+    pub warmup_until: Millis,
     /// Requests per second, from all hosts together, that it can process during its warm-up.
-    pub cold_bound: f64,
+    pub warmup_rate_max: f64,
     /// Requests per second that it accepts from all hosts together; `None` without a limit.
-    pub limit: Option<f64>,
+    pub rate_limit: Option<f64>,
     /// Index of its data centre.
-    pub near: u32,
+    pub dc_index: u32,
     /// Whether this host schedules the server. Another host may do so as well for a moment.
-    pub ours: bool,
+    pub scheduled_here: bool,
 }
 
-impl SlotState {
+impl ServerStatus {
     /// Returns a warm server without a rate limit that this host schedules.
     #[must_use]
-    pub const fn open(slots: u32) -> Self {
+    pub const fn warm(slots: u32) -> Self {
         Self {
             slots,
-            open: true,
-            cold_until: Millis::ZERO,
-            cold_bound: 0.0,
-            limit: None,
-            near: 0,
-            ours: true,
+            accepting: true,
+            warmup_until: Millis::ZERO,
+            warmup_rate_max: 0.0,
+            rate_limit: None,
+            dc_index: 0,
+            scheduled_here: true,
         }
     }
 }
@@ -71,7 +71,7 @@
 /// State of one server at the scheduler.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerSlots {
-    pub(crate) state: SlotState,
+    pub(crate) state: ServerStatus,
     view: ServerView,
     in_flight: HashMap<u64, InFlight>,
     warmup_sends: VecDeque<Millis>,
@@ -83,7 +83,7 @@
 }
 
 impl ServerSlots {
-    pub(crate) fn new(now: Millis, state: SlotState) -> Self {
+    pub(crate) fn new(now: Millis, state: ServerStatus) -> Self {
         Self {
             state,
             view: ServerView::new(state.slots),
@@ -96,12 +96,12 @@
     }
 
     /// Updates the server's state.
-    pub(crate) fn set(&mut self, now: Millis, state: SlotState) {
-        let starts = state.ours && !self.state.ours;
+    pub(crate) fn set(&mut self, now: Millis, state: ServerStatus) {
+        let starts = state.scheduled_here && !self.state.scheduled_here;
         if starts {
             self.scheduling_since = now;
         }
-        if starts || self.state.limit.is_none() {
+        if starts || self.state.rate_limit.is_none() {
             self.bucket = RateBucket::empty(now);
         }
         self.state = state;
@@ -134,7 +134,7 @@
 
     /// Returns `true` if a request may be sent now.
     pub(crate) fn has_slot(&self, now: Millis) -> bool {
-        self.state.open
+        self.state.accepting
             && !self.view.is_paused(now)
             && self.busy() < self.state.slots as usize
             && self.is_within_warmup_rate(now)
@@ -146,7 +146,7 @@
     pub(crate) fn free_slots(&self, now: Millis) -> usize {
         if !self.has_slot(now) {
             0
-        } else if now < self.state.cold_until || self.state.limit.is_some() {
+        } else if now < self.state.warmup_until || self.state.rate_limit.is_some() {
             1
         } else {
             self.state.slots as usize - self.busy()
@@ -155,25 +155,25 @@
 
     /// Returns `true` if the warm-up rate allows one more request.
     fn is_within_warmup_rate(&self, now: Millis) -> bool {
-        if now >= self.state.cold_until {
+        if now >= self.state.warmup_until {
             return true;
         }
         // Other hosts may have sent requests in the second before this host began to schedule the server.
-        if !self.state.ours || now.since(self.scheduling_since) < WARMUP_WINDOW {
+        if !self.state.scheduled_here || now.since(self.scheduling_since) < WARMUP_WINDOW {
             return false;
         }
         let recent = self
             .warmup_sends
             .iter()
             .filter(|t| now.since(**t) < WARMUP_WINDOW);
-        ((recent.count() + 1) as f64) <= self.state.cold_bound * WARMUP_RATE_FRACTION
+        ((recent.count() + 1) as f64) <= self.state.warmup_rate_max * WARMUP_RATE_FRACTION
     }
 
     /// Returns `true` if the server's rate limit allows one more request. If another host schedules the server, only
     /// that host may spend the rate.
     fn is_within_limit(&self, now: Millis) -> bool {
-        let within = |rate| self.state.ours && self.bucket.has_token(now, rate);
-        self.state.limit.is_none_or(within)
+        let within = |rate| self.state.scheduled_here && self.bucket.has_token(now, rate);
+        self.state.rate_limit.is_none_or(within)
     }
 
     /// Returns the capacity in usual slots: the work that the server does in the time in which a usual slot does one
@@ -186,13 +186,13 @@
     /// Returns the number of usual slots that do as much work as the server's rate limit admits; `None` without a
     /// limit.
     pub(crate) fn limited_slots(&self) -> Option<f64> {
-        let rate = self.state.limit?;
+        let rate = self.state.rate_limit?;
         Some(rate * self.mean_work_us / 1_000_000.0)
     }
 
     /// Estimates the time until a request may be sent, in microseconds; 0 if it may be sent now.
     pub(crate) fn free_in_us(&self, now: Millis) -> f64 {
-        let limit = self.state.limit;
+        let limit = self.state.rate_limit;
         let token = limit.map_or(0.0, |rate| self.bucket.token_in_us(now, rate));
         self.slot_in_us(now).max(token)
     }
@@ -220,7 +220,7 @@
             work_us,
         };
         self.in_flight.insert(ticket, in_flight);
-        if let Some(rate) = self.state.limit {
+        if let Some(rate) = self.state.rate_limit {
             self.bucket.take(now, rate);
         }
         let smoothing = if self.mean_work_us > 0.0 {
--- a/crates/chicoryrail-policy/src/scheduler/slot_request.rs
+++ b/crates/chicoryrail-policy/src/scheduler/slot_request.rs
@@ -12,9 +12,9 @@
     /// Identifies the request among all hosts.
     pub ticket: u64,
     /// Priority if there is not enough capacity for all requests; 0 goes first.
-    pub rank: u8,
+    pub priority: u8,
     /// Latency target: the moment until which an answer has its full value to the caller.
-    pub aim: Millis,
+    pub latency_target: Millis,
     /// Moment at which the caller cancels.
     pub deadline: Millis,
     /// Time that a usual server needs for it, in microseconds.
@@ -22,11 +22,11 @@
     /// Its shard key; `None` if the service is not keyed.
     pub key: Option<u16>,
     /// Servers that had the request before and should not receive it again.
-    pub not: Vec<ServerId>,
+    pub excluded: Vec<ServerId>,
     /// Index of the querying host's data centre.
-    pub near: u32,
+    pub dc_index: u32,
     /// Whether its answer is large.
-    pub large: bool,
+    pub large_response: bool,
 }
 
 /// Servers that a request may be sent to.
@@ -38,7 +38,7 @@
     /// Only the owner of its key.
     Owner(ServerId),
     /// None at the moment, as its key has no owner or is moving to another one.
-    Moving,
+    Unassigned,
 }
 
 /// Decision on a request.
@@ -58,7 +58,7 @@
     /// Server that had the request.
     pub server: ServerId,
     /// Time from the send to the answer, in microseconds; `None` if the caller cancelled before.
-    pub us: Option<f64>,
+    pub elapsed_us: Option<f64>,
     /// Failure of the send; `None` for an answer.
     pub failure: Option<Failure>,
     /// Load that the server reported with its answer.
--- a/crates/chicoryrail-policy/tests/admission.rs
+++ b/crates/chicoryrail-policy/tests/admission.rs
@@ -5,8 +5,8 @@
 use chicoryrail_core::ApiKey;
 use chicoryrail_core::Millis;
 use chicoryrail_core::Organisation;
+use chicoryrail_policy::ApiKeyIndex;
 use chicoryrail_policy::Freshness;
-use chicoryrail_policy::KeyIndex;
 use rstest::rstest;
 
 fn organisation(name: &str, keys: &[&str]) -> Arc<Organisation> {
@@ -24,10 +24,10 @@
         organisation("school", &["one", "two"]),
         organisation("shop", &["three"]),
     ];
-    let index = KeyIndex::new([7; 16], &all);
+    let index = ApiKeyIndex::new([7; 16], &all);
     let find = |key: &str| {
         index
-            .holder(key.as_bytes())
+            .find(key.as_bytes())
             .map(|o| o.name.as_str().to_owned())
     };
     assert_eq!(find("two").as_deref(), Some("school"));
@@ -44,9 +44,9 @@
 #[case::beyond(6_000, false)]
 fn keys_are_accepted_within_the_bound_of_the_last_proof(#[case] now: u64, #[case] is_fresh: bool) {
     let mut freshness = Freshness::default();
-    assert!(!freshness.holds(Millis(now), Millis(5_000)));
-    freshness.prove(Millis(1_000));
+    assert!(!freshness.is_fresh(Millis(now), Millis(5_000)));
+    freshness.mark_current(Millis(1_000));
     // An answer that was delayed for long proves less than one that arrived before it.
-    freshness.prove(Millis(400));
-    assert_eq!(freshness.holds(Millis(now), Millis(5_000)), is_fresh);
+    freshness.mark_current(Millis(400));
+    assert_eq!(freshness.is_fresh(Millis(now), Millis(5_000)), is_fresh);
 }
--- a/crates/chicoryrail-policy/tests/limited_servers.rs
+++ b/crates/chicoryrail-policy/tests/limited_servers.rs
@@ -5,9 +5,9 @@
 use chicoryrail_policy::Placement;
 use chicoryrail_policy::Scheduler;
 use chicoryrail_policy::ServerId;
+use chicoryrail_policy::ServerStatus;
 use chicoryrail_policy::SlotRelease;
 use chicoryrail_policy::SlotRequest;
-use chicoryrail_policy::SlotState;
 
 /// Requests per second that an overloaded server advertises.
 const LIMIT_PER_S: f64 = 3.0;
@@ -20,13 +20,13 @@
     let mut refused = Vec::new();
     for now in start..start + seconds * 1_000 {
         if now.is_multiple_of(83) {
-            scheduler.ask(Millis(now), request(now, Some(7)));
+            scheduler.enqueue(Millis(now), request(now, Some(7)));
         }
         for (ticket, decision) in scheduler.poll(Millis(now), owner) {
             match decision {
                 Decision::Send(server) => {
                     sent.push(now);
-                    scheduler.ended(Millis(now), &end(ticket, server, 20_000.0));
+                    scheduler.release(Millis(now), &end(ticket, server, 20_000.0));
                 }
                 Decision::Refuse(_) => refused.push(now - ticket),
             }
@@ -35,18 +35,18 @@
     (sent, refused)
 }
 
-fn limited(ours: bool) -> SlotState {
-    SlotState {
-        limit: Some(LIMIT_PER_S),
-        ours,
-        ..SlotState::open(2)
+fn limited(scheduled_here: bool) -> ServerStatus {
+    ServerStatus {
+        rate_limit: Some(LIMIT_PER_S),
+        scheduled_here,
+        ..ServerStatus::warm(2)
     }
 }
 
 fn scheduler(servers: u32) -> Scheduler {
     let mut scheduler = Scheduler::default();
     for id in 0..servers {
-        scheduler.set(Millis(0), ServerId(id), SlotState::open(2));
+        scheduler.update_server(Millis(0), ServerId(id), ServerStatus::warm(2));
     }
     scheduler
 }
@@ -54,14 +54,14 @@
 fn request(now: u64, key: Option<u16>) -> SlotRequest {
     SlotRequest {
         ticket: now,
-        rank: 1,
-        aim: Millis(now + 300),
+        priority: 1,
+        latency_target: Millis(now + 300),
         deadline: Millis(now + 800),
         work_us: 100_000.0,
         key,
-        not: Vec::new(),
-        near: 0,
-        large: false,
+        excluded: Vec::new(),
+        dc_index: 0,
+        large_response: false,
     }
 }
 
@@ -69,7 +69,7 @@
     SlotRelease {
         ticket,
         server,
-        us: Some(us),
+        elapsed_us: Some(us),
         failure: None,
         report: None,
     }
@@ -89,7 +89,7 @@
 #[test]
 fn a_limited_server_gets_its_advertised_rate() {
     let mut scheduler = scheduler(2);
-    scheduler.set(Millis(0), ServerId(0), limited(true));
+    scheduler.update_server(Millis(0), ServerId(0), limited(true));
     let (sent, _) = overload_limited(&mut scheduler, 0, 20);
     let most = most_in_four_seconds(&sent);
     assert!(most <= 4 * LIMIT_PER_S as usize + 1, "{most}");
@@ -104,7 +104,7 @@
 #[test]
 fn callers_over_a_servers_limit_have_time_left_to_retry() {
     let mut scheduler = scheduler(2);
-    scheduler.set(Millis(0), ServerId(0), limited(true));
+    scheduler.update_server(Millis(0), ServerId(0), limited(true));
     let (_, refused) = overload_limited(&mut scheduler, 0, 20);
     let latest = refused.iter().max().copied().unwrap_or_default();
     assert!(!refused.is_empty() && latest <= 400, "{latest} of 800 ms");
@@ -119,8 +119,8 @@
         let now = turn * 1_000;
         let [a, b] = &mut schedulers;
         let (ours, other) = if turn % 2 == 0 { (a, b) } else { (b, a) };
-        ours.set(Millis(now), ServerId(0), limited(true));
-        other.set(Millis(now), ServerId(0), limited(false));
+        ours.update_server(Millis(now), ServerId(0), limited(true));
+        other.update_server(Millis(now), ServerId(0), limited(false));
         sent.extend(overload_limited(ours, now, 1).0);
     }
     let most = most_in_four_seconds(&sent);
@@ -131,11 +131,11 @@
 #[test]
 fn a_server_with_a_limit_of_zero_is_probed() {
     let mut scheduler = scheduler(1);
-    let blocked = SlotState {
-        limit: Some(0.0),
-        ..SlotState::open(2)
+    let blocked = ServerStatus {
+        rate_limit: Some(0.0),
+        ..ServerStatus::warm(2)
     };
-    scheduler.set(Millis(0), ServerId(0), blocked);
+    scheduler.update_server(Millis(0), ServerId(0), blocked);
     let (sent, _) = overload_limited(&mut scheduler, 0, 30);
     assert!((2..=8).contains(&sent.len()), "{}", sent.len());
 }
@@ -144,15 +144,15 @@
 #[test]
 fn other_servers_serve_requests_over_a_servers_limit() {
     let mut scheduler = scheduler(3);
-    scheduler.set(Millis(0), ServerId(0), limited(true));
+    scheduler.update_server(Millis(0), ServerId(0), limited(true));
     let mut refused = 0;
     for now in 0..5_000_u64 {
         if now.is_multiple_of(20) {
-            scheduler.ask(Millis(now), request(now, None));
+            scheduler.enqueue(Millis(now), request(now, None));
         }
         for (ticket, decision) in scheduler.poll(Millis(now), |_| Placement::Any) {
             match decision {
-                Decision::Send(server) => scheduler.ended(Millis(now), &end(ticket, server, 9e4)),
+                Decision::Send(server) => scheduler.release(Millis(now), &end(ticket, server, 9e4)),
                 Decision::Refuse(_) => refused += 1,
             }
         }
--- a/crates/chicoryrail-policy/tests/part_rooms.rs
+++ b/crates/chicoryrail-policy/tests/part_rooms.rs
@@ -2,7 +2,7 @@
 
 use chicoryrail_core::DcName;
 use chicoryrail_core::Millis;
-use chicoryrail_policy::PartRooms;
+use chicoryrail_policy::RemoteFreeSlots;
 
 const NOW: Millis = Millis(1_000);
 
@@ -15,12 +15,12 @@
 /// too.
 #[test]
 fn a_burst_is_spread_over_the_other_data_centres() {
-    let mut rooms = PartRooms::default();
-    rooms.heard(NOW, &dc("west"), 0);
-    rooms.heard(NOW, &dc("east"), 12);
-    rooms.heard(NOW, &dc("north"), 4);
+    let mut free_slots = RemoteFreeSlots::default();
+    free_slots.update(NOW, &dc("west"), 0);
+    free_slots.update(NOW, &dc("east"), 12);
+    free_slots.update(NOW, &dc("north"), 4);
     let taken: Vec<_> = (0..12)
-        .filter_map(|_| rooms.take(NOW, &dc("west")))
+        .filter_map(|_| free_slots.take_slot(NOW, &dc("west")))
         .collect();
     let count = |name: &str| taken.iter().filter(|d| **d == dc(name)).count();
     assert_eq!((count("east"), count("north"), count("west")), (6, 2, 0));
@@ -29,18 +29,21 @@
 /// All other data centres are full, or only the caller's own has free slots: the request waits where it is.
 #[test]
 fn no_slot_is_taken_from_full_data_centres() {
-    let mut rooms = PartRooms::default();
-    assert_eq!(rooms.take(NOW, &dc("west")), None);
-    rooms.heard(NOW, &dc("west"), 9);
-    rooms.heard(NOW, &dc("east"), 0);
-    assert_eq!(rooms.take(NOW, &dc("west")), None);
+    let mut free_slots = RemoteFreeSlots::default();
+    assert_eq!(free_slots.take_slot(NOW, &dc("west")), None);
+    free_slots.update(NOW, &dc("west"), 9);
+    free_slots.update(NOW, &dc("east"), 0);
+    assert_eq!(free_slots.take_slot(NOW, &dc("west")), None);
 }
 
 /// Guards against sending to an isolated data centre: half a second after its last report it gets nothing more.
 #[test]
 fn a_silent_data_centre_gets_nothing() {
-    let mut rooms = PartRooms::default();
-    rooms.heard(NOW, &dc("east"), 40);
-    assert_eq!(rooms.take(Millis(1_400), &dc("west")), Some(dc("east")));
-    assert_eq!(rooms.take(Millis(1_500), &dc("west")), None);
+    let mut free_slots = RemoteFreeSlots::default();
+    free_slots.update(NOW, &dc("east"), 40);
+    assert_eq!(
+        free_slots.take_slot(Millis(1_400), &dc("west")),
+        Some(dc("east"))
+    );
+    assert_eq!(free_slots.take_slot(Millis(1_500), &dc("west")), None);
 }
--- a/crates/chicoryrail-policy/tests/quota.rs
+++ b/crates/chicoryrail-policy/tests/quota.rs
@@ -3,23 +3,23 @@
 use chicoryrail_core::HostName;
 use chicoryrail_core::Millis;
 use chicoryrail_core::QuotaLimit;
-use chicoryrail_policy::Allowance;
-use chicoryrail_policy::LONE_AFTER;
-use chicoryrail_policy::LoneShare;
-use chicoryrail_policy::PoolBound;
+use chicoryrail_policy::PoolParams;
+use chicoryrail_policy::QUOTA_LEADER_TIMEOUT;
 use chicoryrail_policy::QuotaGrant;
 use chicoryrail_policy::QuotaPool;
 use chicoryrail_policy::QuotaReport;
 use chicoryrail_policy::QuotaShare;
-use chicoryrail_policy::ShareBound;
+use chicoryrail_policy::QuotaTolerance;
+use chicoryrail_policy::ShareParams;
+use chicoryrail_policy::StandaloneShare;
 use proptest::prelude::*;
 use rand::Rng;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-const ALLOWANCE: Allowance = Allowance {
-    over: 0.1,
+const TOLERANCE: QuotaTolerance = QuotaTolerance {
+    ratio: 0.1,
     slack: 20.0,
     window: Millis(5_000),
 };
@@ -72,7 +72,7 @@
             shares: vec![QuotaShare::default(); SCHEDULERS],
             reported: vec![0; SCHEDULERS],
             answered_at: vec![None; SCHEDULERS],
-            pool: QuotaPool::from(Millis::ZERO),
+            pool: QuotaPool::new(Millis::ZERO),
             term: 1,
             leader_from: 0,
             admitted: Vec::new(),
@@ -99,7 +99,7 @@
                 for _ in 0..retries {
                     self.request(at, ms, false);
                 }
-                let low = self.shares[at].is_low(&self.bound(at, ms));
+                let low = self.shares[at].is_low(&self.params(at, ms));
                 if ms % REPORT_MS == at as u64 * TICK_MS || (low && ms % 20 == 0) {
                     self.report(at, ms);
                 }
@@ -116,27 +116,27 @@
         if self.faults.leader_lost_ms == Some(ms) {
             self.term += 1;
             self.leader_from = ms + 1_000;
-            self.pool = QuotaPool::from(Millis(self.leader_from));
+            self.pool = QuotaPool::new(Millis(self.leader_from));
         }
     }
 
-    fn bound(&self, at: usize, ms: u64) -> ShareBound {
-        ShareBound {
+    fn params(&self, at: usize, ms: u64) -> ShareParams {
+        ShareParams {
             limit: self.limit,
             schedulers: SCHEDULERS,
-            lone: self.is_isolated(at, ms),
-            allowance: ALLOWANCE,
+            standalone: self.is_isolated(at, ms),
+            tolerance: TOLERANCE,
         }
     }
 
     fn request(&mut self, at: usize, ms: u64, first: bool) {
-        let bound = self.bound(at, ms);
-        match self.shares[at].take(Millis(ms), &bound) {
+        let params = self.params(at, ms);
+        match self.shares[at].try_take(Millis(ms), &params) {
             Ok(()) => {
                 self.admitted.push(ms);
                 self.admitted_by[at] += 1;
             }
-            Err(_) if first && self.shares[at].may_wait(&bound) => {
+            Err(_) if first && self.shares[at].can_wait(&params) => {
                 self.waiting.push((at, ms + RETRY_MS));
             }
             Err(_) => self.refused.push(ms),
@@ -144,7 +144,7 @@
     }
 
     fn is_isolated(&self, at: usize, ms: u64) -> bool {
-        self.answered_at[at].is_none_or(|t| ms - t > LONE_AFTER.0)
+        self.answered_at[at].is_none_or(|t| ms - t > QUOTA_LEADER_TIMEOUT.0)
     }
 
     fn is_cut(&self, at: usize, ms: u64) -> bool {
@@ -157,8 +157,8 @@
     }
 
     fn report(&mut self, at: usize, ms: u64) {
-        let bound = self.bound(at, ms);
-        let report = self.shares[at].report(Millis(ms), &bound);
+        let params = self.params(at, ms);
+        let report = self.shares[at].report(Millis(ms), &params);
         if ms < self.leader_from || self.is_cut(at, ms) || self.is_lost() {
             return;
         }
@@ -167,34 +167,35 @@
         let grant = self.answer(at, ms, report);
         if !self.is_lost() {
             self.answered_at[at] = Some(ms);
-            self.shares[at].grant(grant);
+            self.shares[at].apply_grant(grant);
         }
     }
 
     fn answer(&mut self, at: usize, ms: u64, mut report: QuotaReport) -> QuotaGrant {
-        let is_connected = |h: &&u64| **h > 0 && ms - (**h - 1) <= LONE_AFTER.0;
+        let is_connected = |h: &&u64| **h > 0 && ms - (**h - 1) <= QUOTA_LEADER_TIMEOUT.0;
         let connected = self.reported.iter().filter(is_connected).count();
         if self.faults.forgets_leases {
             report.held = 0;
             self.term += 1;
-            self.pool = QuotaPool::from(Millis::ZERO);
+            self.pool = QuotaPool::new(Millis::ZERO);
         }
-        let bound = PoolBound {
+        let params = PoolParams {
             term: self.term,
             limit: self.limit,
-            allowance: ALLOWANCE,
+            tolerance: TOLERANCE,
             schedulers: SCHEDULERS,
-            heard_part: connected as f64 / SCHEDULERS as f64,
+            connected_fraction: connected as f64 / SCHEDULERS as f64,
         };
         let host = HostName::new(&format!("host-{at}"));
-        self.pool.report(Millis(ms), &host, report, &bound)
+        self.pool.report(Millis(ms), &host, report, &params)
     }
 
     /// Returns by how many requests the fullest window after `from_ms` exceeds what the limit and its tolerance allow.
     fn excess(&self, from_ms: u64) -> f64 {
         let limit = self.limit;
-        let window = ALLOWANCE.window.0;
-        let bound = limit.rate * window as f64 / 1_000.0 + limit.burst + ALLOWANCE.requests(limit);
+        let window = TOLERANCE.window.0;
+        let bound =
+            limit.rate * window as f64 / 1_000.0 + limit.burst + TOLERANCE.extra_requests(limit);
         let admitted: Vec<u64> = self
             .admitted
             .iter()
@@ -276,7 +277,7 @@
         let sim = sim.run(20_000, |_, ms| if ms < 5_000 { base } else { base * 7.5 });
         assert!(sim.excess(0) <= 0.0, "{}", sim.excess(0));
         let admitted = sim.admitted.iter().filter(|t| **t >= 10_000).count() as f64;
-        let allowed = ALLOWANCE.window_limit(sim.limit) * 2.0;
+        let allowed = TOLERANCE.window_limit(sim.limit) * 2.0;
         assert!(admitted >= allowed * 0.9, "{admitted} of {allowed}");
         let least = sim.admitted_by.iter().min().copied().unwrap_or_default();
         let mean = sim.admitted.len() / SCHEDULERS;
@@ -335,14 +336,17 @@
         rate: 60.0,
         burst: 60.0,
     };
-    let mut shares = [LoneShare::default(); 23];
+    let mut shares = [StandaloneShare::default(); 23];
     let mut admitted = 0;
     for ms in (10_000..15_000).step_by(50) {
-        let taken = shares.iter_mut().map(|s| s.take(Millis(ms), limit, 68));
+        let taken = shares.iter_mut().map(|s| s.try_take(Millis(ms), limit, 68));
         admitted += taken.filter(Result::is_ok).count();
     }
     assert!(admitted >= 23, "each serves one request at least");
-    assert!((admitted as f64) <= ALLOWANCE.requests(limit), "{admitted}");
+    assert!(
+        (admitted as f64) <= TOLERANCE.extra_requests(limit),
+        "{admitted}"
+    );
 }
 
 /// Guards against tokens that are subtracted from a new leader's window with each report that gets no answer.
@@ -352,16 +356,16 @@
         rate: 10.0,
         burst: 10.0,
     };
-    let bound = PoolBound {
+    let params = PoolParams {
         term: 2,
         limit,
-        allowance: Allowance {
-            over: 0.0,
+        tolerance: QuotaTolerance {
+            ratio: 0.0,
             slack: 0.0,
-            ..ALLOWANCE
+            ..TOLERANCE
         },
         schedulers: SCHEDULERS,
-        heard_part: 1.0,
+        connected_fraction: 1.0,
     };
     let report = |want| QuotaReport {
         term: 1,
@@ -371,10 +375,10 @@
         held: 5,
         want,
     };
-    let mut pool = QuotaPool::from(Millis(20_000));
+    let mut pool = QuotaPool::new(Millis(20_000));
     let mut granted = 0;
     for ms in (20_000..24_900).step_by(20) {
-        pool.report(Millis(ms), &HostName::new("deaf"), report(5), &bound);
+        pool.report(Millis(ms), &HostName::new("deaf"), report(5), &params);
         let answered = QuotaReport {
             term: if granted > 0 { 2 } else { 1 },
             granted,
@@ -383,7 +387,7 @@
             ..report(3)
         };
         granted = pool
-            .report(Millis(ms), &HostName::new("other"), answered, &bound)
+            .report(Millis(ms), &HostName::new("other"), answered, &params)
             .granted;
     }
     // Requests that the leader assumes to have been admitted leave the window at the rate, except for the burst at its
--- a/crates/chicoryrail-policy/tests/scheduler.rs
+++ b/crates/chicoryrail-policy/tests/scheduler.rs
@@ -10,9 +10,9 @@
 use chicoryrail_policy::Placement;
 use chicoryrail_policy::Scheduler;
 use chicoryrail_policy::ServerId;
+use chicoryrail_policy::ServerStatus;
 use chicoryrail_policy::SlotRelease;
 use chicoryrail_policy::SlotRequest;
-use chicoryrail_policy::SlotState;
 use rand::Rng;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -23,7 +23,7 @@
 fn scheduler(servers: u32) -> Scheduler {
     let mut scheduler = Scheduler::default();
     for id in 0..servers {
-        scheduler.set(Millis(0), ServerId(id), SlotState::open(SLOTS));
+        scheduler.update_server(Millis(0), ServerId(id), ServerStatus::warm(SLOTS));
     }
     scheduler
 }
@@ -31,14 +31,14 @@
 fn request(ticket: u64, now: u64, latency_ms: u64, time_ms: u64) -> SlotRequest {
     SlotRequest {
         ticket,
-        rank: 1,
-        aim: Millis(now + latency_ms),
+        priority: 1,
+        latency_target: Millis(now + latency_ms),
         deadline: Millis(now + time_ms),
         work_us: 100_000.0,
         key: None,
-        not: Vec::new(),
-        near: 0,
-        large: false,
+        excluded: Vec::new(),
+        dc_index: 0,
+        large_response: false,
     }
 }
 
@@ -50,7 +50,7 @@
     SlotRelease {
         ticket,
         server,
-        us: Some(us),
+        elapsed_us: Some(us),
         failure: None,
         report: None,
     }
@@ -84,7 +84,7 @@
             }
             ends.pop();
             load[server as usize] -= 1;
-            scheduler.ended(Millis(now), &end(t, ServerId(server), us as f64));
+            scheduler.release(Millis(now), &end(t, ServerId(server), us as f64));
             let arrived_at: u64 = started[&t];
             match now - arrived_at {
                 ..=300 => outcomes.on_time += 1,
@@ -95,7 +95,7 @@
         if rng.random_bool(per_s / 1_000.0) {
             ticket += 1;
             started.insert(ticket, now);
-            scheduler.ask(Millis(now), request(ticket, now, 300, 800));
+            scheduler.enqueue(Millis(now), request(ticket, now, 300, 800));
         }
         for (t, decision) in scheduler.poll(Millis(now), any) {
             match decision {
@@ -111,7 +111,7 @@
         }
         let idle = load.iter().filter(|l| **l == 0).count();
         // With one server four times as fast as the others, up to about eight requests may be right to wait.
-        outcomes.idle_ms += u32::from(scheduler.waiting() > 8 && idle > 0);
+        outcomes.idle_ms += u32::from(scheduler.queue_length() > 8 && idle > 0);
     }
     outcomes
 }
@@ -166,7 +166,7 @@
 fn requests_of_a_burst_that_cannot_be_served_are_refused_at_once() {
     let mut scheduler = scheduler(4);
     for ticket in 1..=60 {
-        scheduler.ask(Millis(10), request(ticket, 10, 300, 400));
+        scheduler.enqueue(Millis(10), request(ticket, 10, 300, 400));
     }
     let decisions = scheduler.poll(Millis(10), any);
     let is_send = |v: &&(u64, Decision)| matches!(v.1, Decision::Send(_));
@@ -182,20 +182,20 @@
 #[test]
 fn requests_that_meet_their_latency_target_go_first_by_priority() {
     let mut scheduler = scheduler(1);
-    scheduler.ask(Millis(0), request(1, 0, 300, 800));
-    scheduler.ask(Millis(0), request(2, 0, 300, 800));
+    scheduler.enqueue(Millis(0), request(1, 0, 300, 800));
+    scheduler.enqueue(Millis(0), request(2, 0, 300, 800));
     assert_eq!(scheduler.poll(Millis(0), any).len(), 2);
-    let with_rank = |ticket, rank, latency_ms| SlotRequest {
-        rank,
+    let with_priority = |ticket, priority, latency_ms| SlotRequest {
+        priority,
         ..request(ticket, 0, latency_ms, 800)
     };
-    scheduler.ask(Millis(1), with_rank(3, 2, 400));
-    scheduler.ask(Millis(1), with_rank(4, 0, 500));
-    scheduler.ask(Millis(1), with_rank(5, 0, 50));
+    scheduler.enqueue(Millis(1), with_priority(3, 2, 400));
+    scheduler.enqueue(Millis(1), with_priority(4, 0, 500));
+    scheduler.enqueue(Millis(1), with_priority(5, 0, 50));
     assert!(scheduler.poll(Millis(1), any).is_empty());
     let mut order = Vec::new();
     for (at, done) in [(90, 1), (100, 2), (190, 4), (200, 3)] {
-        scheduler.ended(Millis(at), &end(done, ServerId(0), 90_000.0));
+        scheduler.release(Millis(at), &end(done, ServerId(0), 90_000.0));
         order.extend(scheduler.poll(Millis(at), any).into_iter().map(|(t, _)| t));
     }
     assert_eq!(order, [4, 3, 5]);
@@ -205,16 +205,16 @@
 #[test]
 fn a_repeated_query_gets_the_same_slot() {
     let mut scheduler = scheduler(2);
-    assert_eq!(scheduler.ask(Millis(0), request(1, 0, 300, 800)), None);
+    assert_eq!(scheduler.enqueue(Millis(0), request(1, 0, 300, 800)), None);
     let decisions = scheduler.poll(Millis(0), any);
     let [(1, Decision::Send(server))] = decisions[..] else {
         panic!("{decisions:?}");
     };
     assert_eq!(
-        scheduler.ask(Millis(20), request(1, 0, 300, 780)),
+        scheduler.enqueue(Millis(20), request(1, 0, 300, 780)),
         Some(server)
     );
-    assert_eq!((scheduler.filled().0, scheduler.waiting()), (1, 0));
+    assert_eq!((scheduler.occupancy().0, scheduler.queue_length()), (1, 0));
 }
 
 /// Guards against lost slots: a host dies with requests at a server, so no report of their end arrives. Their slots are
@@ -222,10 +222,10 @@
 #[test]
 fn slots_of_a_lost_host_are_freed() {
     let mut scheduler = scheduler(1);
-    scheduler.ask(Millis(0), request(1, 0, 300, 800));
-    scheduler.ask(Millis(0), request(2, 0, 300, 800));
+    scheduler.enqueue(Millis(0), request(1, 0, 300, 800));
+    scheduler.enqueue(Millis(0), request(2, 0, 300, 800));
     scheduler.poll(Millis(0), any);
-    scheduler.ask(Millis(700), request(3, 700, 600, 1_500));
+    scheduler.enqueue(Millis(700), request(3, 700, 600, 1_500));
     assert!(scheduler.poll(Millis(700), any).is_empty());
     assert_eq!(scheduler.poll(Millis(1_101), any).len(), 1);
 }
@@ -238,8 +238,12 @@
         key: Some(7),
         ..request(1, 0, 300, 800)
     };
-    scheduler.ask(Millis(0), keyed);
-    assert!(scheduler.poll(Millis(0), |_| Placement::Moving).is_empty());
+    scheduler.enqueue(Millis(0), keyed);
+    assert!(
+        scheduler
+            .poll(Millis(0), |_| Placement::Unassigned)
+            .is_empty()
+    );
     let decisions = scheduler.poll(Millis(40), |_| Placement::Owner(ServerId(1)));
     assert_eq!(decisions, [(1, Decision::Send(ServerId(1)))]);
 }
@@ -249,19 +253,19 @@
 #[test]
 fn a_server_gets_its_warm_up_rate() {
     let mut scheduler = Scheduler::default();
-    let cold = SlotState {
-        cold_until: Millis(10_000),
-        cold_bound: 12.95,
-        ..SlotState::open(50)
+    let warming_up = ServerStatus {
+        warmup_until: Millis(10_000),
+        warmup_rate_max: 12.95,
+        ..ServerStatus::warm(50)
     };
-    scheduler.set(Millis(0), ServerId(0), cold);
+    scheduler.update_server(Millis(0), ServerId(0), warming_up);
     let mut sent = Vec::new();
     for now in 0..4_000 {
-        scheduler.ask(Millis(now), request(now + 1, now, 300, 800));
+        scheduler.enqueue(Millis(now), request(now + 1, now, 300, 800));
         for (ticket, decision) in scheduler.poll(Millis(now), any) {
             if decision == Decision::Send(ServerId(0)) {
                 sent.push(now);
-                scheduler.ended(Millis(now), &end(ticket, ServerId(0), 1_000.0));
+                scheduler.release(Millis(now), &end(ticket, ServerId(0), 1_000.0));
             }
         }
     }
@@ -280,7 +284,7 @@
     let mut count = [0; 3];
     for now in 0..300_u64 {
         let now = now * 20;
-        scheduler.ask(Millis(now), request(now + 1, now, 300, 800));
+        scheduler.enqueue(Millis(now), request(now + 1, now, 300, 800));
         for (ticket, decision) in scheduler.poll(Millis(now), any) {
             if let Decision::Send(server) = decision {
                 count[server.0 as usize] += 1;
@@ -289,7 +293,7 @@
                     failure: fails.then_some(Failure::Error),
                     ..end(ticket, server, 100_000.0)
                 };
-                scheduler.ended(Millis(now + 10), &end);
+                scheduler.release(Millis(now + 10), &end);
             }
         }
     }
@@ -302,24 +306,24 @@
 fn a_request_stays_in_its_data_centre_while_slots_are_free() {
     let mut scheduler = Scheduler::default();
     for id in 0..4 {
-        let near = id % 2;
-        scheduler.set(
+        let dc_index = id % 2;
+        scheduler.update_server(
             Millis(0),
             ServerId(id),
-            SlotState {
-                near,
-                ..SlotState::open(SLOTS)
+            ServerStatus {
+                dc_index,
+                ..ServerStatus::warm(SLOTS)
             },
         );
     }
     let mut count = [0; 2];
     for ticket in 1..=6 {
-        let near = SlotRequest {
-            near: 1,
-            large: false,
+        let request_in_dc_1 = SlotRequest {
+            dc_index: 1,
+            large_response: false,
             ..request(ticket, 0, 300, 800)
         };
-        scheduler.ask(Millis(0), near);
+        scheduler.enqueue(Millis(0), request_in_dc_1);
         for (_, decision) in scheduler.poll(Millis(0), any) {
             if let Decision::Send(server) = decision {
                 count[server.0 as usize % 2] += 1;
--- a/crates/chicoryrail-policy/tests/scheduler_callers.rs
+++ b/crates/chicoryrail-policy/tests/scheduler_callers.rs
@@ -8,9 +8,9 @@
 use chicoryrail_policy::Placement;
 use chicoryrail_policy::Scheduler;
 use chicoryrail_policy::ServerId;
+use chicoryrail_policy::ServerStatus;
 use chicoryrail_policy::SlotRelease;
 use chicoryrail_policy::SlotRequest;
-use chicoryrail_policy::SlotState;
 use rand::Rng;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -49,7 +49,7 @@
     fn new() -> Self {
         let mut scheduler = Scheduler::default();
         for id in 0..SERVERS {
-            scheduler.set(Millis(0), ServerId(id), SlotState::open(2));
+            scheduler.update_server(Millis(0), ServerId(id), ServerStatus::warm(2));
         }
         Self {
             scheduler,
@@ -63,18 +63,18 @@
     fn ask(&mut self, key: u16) {
         let request = SlotRequest {
             ticket: self.next_ticket,
-            rank: 1,
-            aim: Millis(self.now + 300),
+            priority: 1,
+            latency_target: Millis(self.now + 300),
             deadline: Millis(self.now + TIMEOUT_MS),
             work_us: WORK_MS as f64 * 1_000.0,
             key: Some(key),
-            not: Vec::new(),
-            near: 0,
-            large: false,
+            excluded: Vec::new(),
+            dc_index: 0,
+            large_response: false,
         };
         self.next_ticket += 1;
         self.requests.push((key, self.now));
-        self.scheduler.ask(Millis(self.now), request);
+        self.scheduler.enqueue(Millis(self.now), request);
     }
 
     /// Advances by a millisecond; returns the requests that ended: key, arrival time, and whether they were served.
@@ -89,11 +89,11 @@
             let end = SlotRelease {
                 ticket,
                 server: ServerId(server),
-                us: Some(WORK_MS as f64 * 1_000.0),
+                elapsed_us: Some(WORK_MS as f64 * 1_000.0),
                 failure: None,
                 report: None,
             };
-            self.scheduler.ended(Millis(self.now), &end);
+            self.scheduler.release(Millis(self.now), &end);
             let (key, arrived_at) = self.requests[ticket as usize];
             ended.push((key, arrived_at, true));
         }
--- a/crates/chicoryrail-policy/tests/scheduler_size.rs
+++ b/crates/chicoryrail-policy/tests/scheduler_size.rs
@@ -8,9 +8,9 @@
 use chicoryrail_policy::Placement;
 use chicoryrail_policy::Scheduler;
 use chicoryrail_policy::ServerId;
+use chicoryrail_policy::ServerStatus;
 use chicoryrail_policy::SlotRelease;
 use chicoryrail_policy::SlotRequest;
-use chicoryrail_policy::SlotState;
 use rstest::rstest;
 
 const SERVERS: u32 = 90;
@@ -31,7 +31,7 @@
 }
 
 fn moving(_: u16) -> Placement {
-    Placement::Moving
+    Placement::Unassigned
 }
 
 fn owner(key: u16) -> Placement {
@@ -48,7 +48,7 @@
 fn a_queue_for_ninety_full_servers_keeps_up(#[case] place: fn(u16) -> Placement) {
     let mut scheduler = Scheduler::default();
     for id in 0..SERVERS {
-        scheduler.set(Millis(0), ServerId(id), SlotState::open(2));
+        scheduler.update_server(Millis(0), ServerId(id), ServerStatus::warm(2));
     }
     let mut sim = Simulation {
         scheduler,
@@ -82,13 +82,13 @@
     fn ask(&mut self, now: u64) {
         let ticket = self.assigned.len() as u64;
         self.assigned.push(None);
-        self.scheduler.ask(Millis(now), request(ticket, now));
+        self.scheduler.enqueue(Millis(now), request(ticket, now));
         self.poll(now);
     }
 
     fn end(&mut self, now: u64, ticket: u64) {
         if let Some(server) = self.assigned[ticket as usize] {
-            self.scheduler.ended(Millis(now), &end(ticket, server));
+            self.scheduler.release(Millis(now), &end(ticket, server));
         }
         self.poll(now);
     }
@@ -109,7 +109,7 @@
             .map(|(ticket, _)| ticket as u64)
             .collect();
         for ticket in waiting.iter().rev().skip(QUEUE_LENGTH as usize) {
-            self.scheduler.leave(*ticket);
+            self.scheduler.cancel(*ticket);
         }
     }
 }
@@ -117,14 +117,14 @@
 fn request(ticket: u64, now: u64) -> SlotRequest {
     SlotRequest {
         ticket,
-        rank: 1,
-        aim: Millis(now + 60_000),
+        priority: 1,
+        latency_target: Millis(now + 60_000),
         deadline: Millis(now + 90_000),
         work_us: 100_000.0,
         key: Some((ticket % 65_536) as u16),
-        not: Vec::new(),
-        near: 0,
-        large: false,
+        excluded: Vec::new(),
+        dc_index: 0,
+        large_response: false,
     }
 }
 
@@ -132,7 +132,7 @@
     SlotRelease {
         ticket,
         server,
-        us: Some(100_000.0),
+        elapsed_us: Some(100_000.0),
         failure: None,
         report: None,
     }
--- a/crates/chicoryrail-policy/tests/shared.rs
+++ b/crates/chicoryrail-policy/tests/shared.rs
@@ -1,17 +1,17 @@
 //! Decisions of hosts that share servers without coordination.
 
 use chicoryrail_core::Millis;
-use chicoryrail_policy::ColdPace;
+use chicoryrail_policy::AdvertisedLimit;
+use chicoryrail_policy::AdvertisedRate;
 use chicoryrail_policy::Failure;
 use chicoryrail_policy::LoadReport;
-use chicoryrail_policy::RateNotice;
-use chicoryrail_policy::RetryBound;
+use chicoryrail_policy::LocalBalancer;
+use chicoryrail_policy::RetryBudget;
+use chicoryrail_policy::RetryLimits;
 use chicoryrail_policy::ServerId;
-use chicoryrail_policy::ServerLimit;
-use chicoryrail_policy::SharedRetries;
-use chicoryrail_policy::SharedServers;
-use chicoryrail_policy::WeightedTurn;
-use chicoryrail_policy::return_time;
+use chicoryrail_policy::WarmupPacer;
+use chicoryrail_policy::WeightedRoundRobin;
+use chicoryrail_policy::retry_after;
 use rand::Rng;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -28,11 +28,11 @@
 fn a_server_gets_at_most_its_warm_up_rate(#[case] hosts: usize, #[case] bound: f64) {
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut pacers = vec![ColdPace::default(); hosts];
+        let mut pacers = vec![WarmupPacer::default(); hosts];
         let mut arrived = Vec::new();
         for ms in 0..4_000 {
             for pacer in &mut pacers {
-                if rng.random_bool(0.2) && pacer.take(Millis(ms), bound, hosts) {
+                if rng.random_bool(0.2) && pacer.try_take(Millis(ms), bound, hosts) {
                     arrived.push(ms + rng.random_range(0..60));
                 }
             }
@@ -52,21 +52,21 @@
 /// retries of all hosts stay within the bound, even if requests are distributed unevenly.
 #[test]
 fn retries_of_all_hosts_stay_within_the_bound() {
-    let bound = RetryBound {
+    let bound = RetryLimits {
         ratio: 0.2,
         slack: 60.0,
         window: Millis(10_000),
         hosts: 10,
     };
     let mut rng = Pcg64Mcg::seed_from_u64(7);
-    let mut hosts = vec![SharedRetries::default(); 10];
+    let mut hosts = vec![RetryBudget::default(); 10];
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in 0..40_000 {
         for (i, host) in hosts.iter_mut().enumerate() {
             if rng.random_bool(0.002 * (i + 1) as f64) {
-                host.request(Millis(ms), &bound);
+                host.record_request(Millis(ms), &bound);
                 requests.push(ms);
-                if host.take(Millis(ms), &bound) {
+                if host.try_take(Millis(ms), &bound) {
                     retries.push(ms);
                 }
             }
@@ -81,14 +81,14 @@
     assert!(retries.len() > 100);
 }
 
-fn servers(n: u32) -> (SharedServers, Vec<ServerId>) {
-    let mut balancer = SharedServers::default();
+fn servers(n: u32) -> (LocalBalancer, Vec<ServerId>) {
+    let mut balancer = LocalBalancer::default();
     let ids: Vec<_> = (0..n).map(ServerId).collect();
     ids.iter().for_each(|id| balancer.set(*id, 2));
     (balancer, ids)
 }
 
-fn picks(balancer: &SharedServers, ids: &[ServerId], now: Millis) -> Vec<usize> {
+fn picks(balancer: &LocalBalancer, ids: &[ServerId], now: Millis) -> Vec<usize> {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut count = vec![0; ids.len()];
     for _ in 0..1_000 {
@@ -105,7 +105,7 @@
 fn a_server_busy_for_other_hosts_gets_no_requests() {
     let (mut balancer, ids) = servers(3);
     let busy = LoadReport::parse("2,1,2,100").unwrap();
-    balancer.heard(Millis(1_000), ids[0], busy);
+    balancer.apply_report(Millis(1_000), ids[0], busy);
     assert_eq!(picks(&balancer, &ids, Millis(1_010))[0], 0);
     assert!(picks(&balancer, &ids, Millis(3_000))[0] > 200);
 }
@@ -115,7 +115,7 @@
 #[test]
 fn a_slow_server_gets_no_requests() {
     let (mut balancer, ids) = servers(3);
-    balancer.heard(
+    balancer.apply_report(
         Millis(1_000),
         ids[0],
         LoadReport::parse("0,0,2,300").unwrap(),
@@ -129,7 +129,7 @@
 fn a_failing_server_gets_no_requests() {
     let (mut balancer, ids) = servers(3);
     for _ in 0..5 {
-        balancer.failed(Millis(1_000), ids[0], Failure::Error);
+        balancer.record_failure(Millis(1_000), ids[0], Failure::Error);
     }
     assert_eq!(picks(&balancer, &ids, Millis(1_100))[0], 0);
     assert!(picks(&balancer, &ids, Millis(20_000))[0] > 100);
@@ -142,12 +142,12 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut sent = 0;
     while let Some(id) = balancer.pick(Millis(5), &mut rng, &ids, 50_000.0) {
-        balancer.sent(id);
+        balancer.record_send(id);
         sent += 1;
     }
     assert_eq!(sent, 10);
-    assert!(balancer.room_in(Millis(5), ids[0], 50_000.0) > Millis(50));
-    balancer.ended(ids[0]);
+    assert!(balancer.capacity_in(Millis(5), ids[0], 50_000.0) > Millis(50));
+    balancer.record_end(ids[0]);
     assert_eq!(
         balancer.pick(Millis(6), &mut rng, &ids, 50_000.0),
         Some(ids[0])
@@ -157,7 +157,7 @@
 /// Guards against uneven shares at a few requests per second: of ten requests, a choice of weight 10 in 100 gets one.
 #[test]
 fn weights_hold_over_short_times() {
-    let mut turn = WeightedTurn::default();
+    let mut turn = WeightedRoundRobin::default();
     for _ in 0..20 {
         let ten = (0..10).filter(|_| turn.next(&[90, 10], 0.3) == 1).count();
         assert_eq!(ten, 1);
@@ -170,7 +170,7 @@
 fn retries_of_refused_callers_are_spread() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let times: Vec<_> = (0..1_000)
-        .map(|_| return_time(&mut rng, Millis(100), Millis(800)).0)
+        .map(|_| retry_after(&mut rng, Millis(100), Millis(800)).0)
         .collect();
     assert!(times.iter().all(|t| (100..=200).contains(t)));
     let early = times.iter().filter(|t| **t < 150).count();
@@ -191,25 +191,25 @@
     #[case] at: u64,
     #[case] rate: Option<f64>,
 ) {
-    let mut limit = ServerLimit::default();
+    let mut limit = AdvertisedLimit::default();
     for (at, advertised) in answers {
-        let notice = advertised.map_or(RateNotice::Unlimited, RateNotice::Limited);
-        limit.heard(Millis(5_000 + at), notice);
+        let notice = advertised.map_or(AdvertisedRate::Unlimited, AdvertisedRate::Limited);
+        limit.record(Millis(5_000 + at), notice);
     }
     assert_eq!(limit.rate(Millis(5_000 + at)), rate);
 }
 
 #[rstest]
-#[case(Some("2.7"), Ok(RateNotice::Limited(2.7)))]
-#[case(Some(" 0 "), Ok(RateNotice::Limited(0.0)))]
-#[case(None, Ok(RateNotice::Unlimited))]
+#[case(Some("2.7"), Ok(AdvertisedRate::Limited(2.7)))]
+#[case(Some(" 0 "), Ok(AdvertisedRate::Limited(0.0)))]
+#[case(None, Ok(AdvertisedRate::Unlimited))]
 #[case(Some("many"), Err("many"))]
 #[case(Some("NaN"), Err("NaN"))]
 #[case(Some("inf"), Err("inf"))]
 #[case(Some("-3"), Err("-3"))]
 fn an_advertised_rate_is_a_finite_number_of_0_or_more(
     #[case] value: Option<&str>,
-    #[case] expected: Result<RateNotice, &str>,
+    #[case] expected: Result<AdvertisedRate, &str>,
 ) {
-    assert_eq!(RateNotice::parse(value), expected);
+    assert_eq!(AdvertisedRate::parse(value), expected);
 }
--- a/crates/chicoryrail-router/src/control/quota/leases.rs
+++ b/crates/chicoryrail-router/src/control/quota/leases.rs
@@ -8,8 +8,8 @@
 use chicoryrail_core::HostName;
 use chicoryrail_core::Millis;
 use chicoryrail_core::OrganisationName;
-use chicoryrail_policy::LONE_AFTER;
-use chicoryrail_policy::PoolBound;
+use chicoryrail_policy::PoolParams;
+use chicoryrail_policy::QUOTA_LEADER_TIMEOUT;
 use chicoryrail_policy::QuotaPool;
 use monoio::time::timeout;
 
@@ -73,28 +73,28 @@
         }
         state
             .last_reports
-            .retain(|_, at| now.since(*at) <= LONE_AFTER);
+            .retain(|_, at| now.since(*at) <= QUOTA_LEADER_TIMEOUT);
         let schedulers = router.peers.borrow().core_host_count();
-        let heard_part = state.last_reports.len() as f64 / schedulers as f64;
-        let allowance = router.quota_allowance();
+        let connected_fraction = state.last_reports.len() as f64 / schedulers as f64;
+        let tolerance = router.quota_tolerance();
         let mut grants = Vec::new();
         for (name, report) in &reports.reports {
             let Some(limit) = router.quota.limit(name) else {
                 continue;
             };
-            let bound = PoolBound {
+            let params = PoolParams {
                 term,
                 limit,
-                allowance,
+                tolerance,
                 schedulers,
-                heard_part,
+                connected_fraction,
             };
             let started = state.started;
             let pools = &mut state.pools;
             let pool = pools
                 .entry(name.clone())
-                .or_insert_with(|| QuotaPool::from(started));
-            let grant = pool.report(now, &reports.host, *report, &bound);
+                .or_insert_with(|| QuotaPool::new(started));
+            let grant = pool.report(now, &reports.host, *report, &params);
             grants.push((name.clone(), grant));
         }
         Some(QuotaGrants { term, grants })
--- a/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
@@ -42,7 +42,7 @@
 
 fn waiting_parts(router: &Router) -> Vec<PartName> {
     let schedulers = router.schedulers.by_part.borrow();
-    let waiting = schedulers.iter().filter(|(_, s)| s.waiting() > 0);
+    let waiting = schedulers.iter().filter(|(_, s)| s.queue_length() > 0);
     waiting.map(|(part, _)| part.clone()).collect()
 }
 
@@ -76,7 +76,7 @@
         let scheduled = targets.values().filter(|t| t.ours.get() == Some(true));
         rates.extend(scheduled.map(|t| ServerPace {
             server: t.life.clone(),
-            speed: scheduler.speed(t.id) as f32,
+            speed: scheduler.slowness(t.id) as f32,
             limited_slots: scheduler.limited_slots(t.id).map(|s| s as f32),
         }));
     }
@@ -86,8 +86,8 @@
 /// Logs the utilisation of each scheduler.
 fn log_schedulers(router: &Router) {
     for (part, scheduler) in router.schedulers.by_part.borrow().iter() {
-        let (busy, slots) = scheduler.filled();
-        log::info!(service:% = part.service, dc:? = part.dc, waiting = scheduler.waiting(),
+        let (busy, slots) = scheduler.occupancy();
+        log::info!(service:% = part.service, dc:? = part.dc, waiting = scheduler.queue_length(),
             busy = busy, slots = slots; "scheduler");
     }
 }
--- a/crates/chicoryrail-router/src/control/scheduling/overflow.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/overflow.rs
@@ -20,7 +20,7 @@
 pub(super) fn has_free_slot(router: &Router, part: &PartName) -> bool {
     let schedulers = router.schedulers.by_part.borrow();
     // The new request is already among the waiting ones.
-    let free = |s: &Scheduler| s.free(router.now()) >= s.waiting();
+    let free = |s: &Scheduler| s.free_slots(router.now()) >= s.queue_length();
     schedulers.get(part).is_some_and(free)
 }
 
@@ -52,7 +52,9 @@
         for part in own_parts {
             let scheduler = schedulers.entry(part.clone()).or_default();
             sync_servers(router, &service, &part, scheduler, now);
-            let free = scheduler.free(now).saturating_sub(scheduler.waiting());
+            let free = scheduler
+                .free_slots(now)
+                .saturating_sub(scheduler.queue_length());
             let free = free as u32;
             free_slots.push(PartRoom { part, free });
         }
--- a/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
@@ -5,7 +5,7 @@
 
 use chicoryrail_core::Millis;
 use chicoryrail_policy::Scheduler;
-use chicoryrail_policy::SlotState;
+use chicoryrail_policy::ServerStatus;
 
 use crate::state::Origin;
 use crate::state::Router;
@@ -17,7 +17,7 @@
 /// Removes a request from its scheduler and returns its token: the caller has cancelled it, or it goes elsewhere.
 pub(super) fn remove_query(router: &Router, part: &PartName, ticket: u64) {
     if let Some(scheduler) = router.schedulers.by_part.borrow_mut().get_mut(part) {
-        scheduler.leave(ticket);
+        scheduler.cancel(ticket);
     }
     remove_origin(router, ticket);
 }
@@ -35,7 +35,7 @@
 pub(super) fn refresh_servers(router: &Router, part: &PartName) {
     let service = router.service(&part.service);
     let mut schedulers = router.schedulers.by_part.borrow_mut();
-    if let Some(scheduler) = schedulers.get_mut(part).filter(|s| s.waiting() > 0) {
+    if let Some(scheduler) = schedulers.get_mut(part).filter(|s| s.queue_length() > 0) {
         sync_servers(router, &service, part, scheduler, router.now());
     }
 }
@@ -49,30 +49,30 @@
     scheduler: &mut Scheduler,
     now: Millis,
 ) {
-    let warmup_bound = router.cold_bound(&service.name);
+    let warmup_bound = router.warmup_rate_max(&service.name);
     let targets = service.targets.borrow();
     let any_ready = targets.values().any(|t| t.is_ready());
     let mut count = 0;
     for target in targets.values().filter(|t| part.has(&t.dc)) {
         count += 1;
-        let state = SlotState {
+        let state = ServerStatus {
             slots: target.slots.get(),
-            open: if any_ready && !service.is_keyed() {
+            accepting: if any_ready && !service.is_keyed() {
                 target.is_ready()
             } else {
                 target.may_get(now)
             },
-            cold_until: target.cold_until.get(),
-            cold_bound: warmup_bound,
-            limit: target.limit.get().rate(now),
-            near: router.schedulers.dc_number(&target.dc),
-            ours: target.ours.get().unwrap_or(false),
+            warmup_until: target.warmup_until.get(),
+            warmup_rate_max: warmup_bound,
+            rate_limit: target.limit.get().rate(now),
+            dc_index: router.schedulers.dc_number(&target.dc),
+            scheduled_here: target.ours.get().unwrap_or(false),
         };
-        scheduler.set(now, target.id, state);
+        scheduler.update_server(now, target.id, state);
     }
     // The loop added every target of the part, so any further server of the scheduler no longer exists.
-    if scheduler.servers() > count {
-        scheduler.retain(|id| targets.values().any(|t| t.id == id));
+    if scheduler.server_count() > count {
+        scheduler.retain_servers(|id| targets.values().any(|t| t.id == id));
     }
 }
 
--- a/crates/chicoryrail-router/src/control/scheduling/requests.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/requests.rs
@@ -64,14 +64,14 @@
         .filter_map(|l| service.target(l).map(|t| t.id));
     let request = SlotRequest {
         ticket: query.ticket,
-        rank: query.rank,
-        aim: now + Millis(query.aim),
+        priority: query.rank,
+        latency_target: now + Millis(query.aim),
         deadline: now + Millis(query.left),
         work_us: query.work_us as f64,
         key: query.key,
-        not: excluded.collect(),
-        near: router.schedulers.dc_number(&query.dc),
-        large: query.large,
+        excluded: excluded.collect(),
+        dc_index: router.schedulers.dc_number(&query.dc),
+        large_response: query.large,
     };
     if let Some(key) = query.key.filter(|_| !is_pending(router, query.ticket)) {
         service.note_key(key);
@@ -79,7 +79,7 @@
     let assigned = {
         let mut schedulers = router.schedulers.by_part.borrow_mut();
         let scheduler = schedulers.entry(query.part.clone()).or_default();
-        scheduler.ask(now, request)
+        scheduler.enqueue(now, request)
     };
     let Ok(token) = take_token(router, query, from, assigned.is_some()) else {
         return;
@@ -131,16 +131,16 @@
     };
     let report = end
         .report
-        .map(|(running, waiting, slots, pace)| LoadReport {
+        .map(|(running, waiting, slots, slowdown_percent)| LoadReport {
             running,
             waiting,
             slots,
-            pace,
+            slowdown_percent,
         });
     let release = SlotRelease {
         ticket: end.ticket,
         server: target.id,
-        us: end.us.map(|us| us as f64),
+        elapsed_us: end.us.map(|us| us as f64),
         failure: match end.kind {
             SlotEndKind::Plain => None,
             SlotEndKind::Full => Some(Failure::Full),
@@ -155,7 +155,7 @@
         target.hear_limit(now, rate.into());
     }
     if let Some(scheduler) = router.schedulers.by_part.borrow_mut().get_mut(&end.part) {
-        scheduler.ended(now, &release);
+        scheduler.release(now, &release);
     }
     poll(router, &end.part);
 }
@@ -171,7 +171,7 @@
             return;
         };
         let keys = service.keys.borrow();
-        let moved = scheduler.waiting_keys().filter(|(_, key)| {
+        let moved = scheduler.queued_keys().filter(|(_, key)| {
             let owner = keys.assigned_owner(*key);
             router.server_scheduler(service, owner) != SchedulerHost::Here
         });
@@ -179,7 +179,7 @@
     };
     for ticket in elsewhere {
         if let Some(scheduler) = router.schedulers.by_part.borrow_mut().get_mut(&part) {
-            scheduler.leave(ticket);
+            scheduler.cancel(ticket);
         }
         if let Some(origin) = remove_origin(router, ticket) {
             reply_to(router, origin.from, ticket, SlotReply::Elsewhere);
@@ -199,15 +199,15 @@
     let service = router.service(&part.service);
     let decisions = {
         let mut schedulers = router.schedulers.by_part.borrow_mut();
-        let Some(scheduler) = schedulers.get_mut(part).filter(|s| s.waiting() > 0) else {
+        let Some(scheduler) = schedulers.get_mut(part).filter(|s| s.queue_length() > 0) else {
             return;
         };
         let keys = service.keys.borrow();
         scheduler.poll(now, |key| match keys.owner(now, key) {
             KeyOwner::Granted(life) => service
                 .target(&life)
-                .map_or(Placement::Moving, |t| Placement::Owner(t.id)),
-            KeyOwner::Moving | KeyOwner::Unassigned => Placement::Moving,
+                .map_or(Placement::Unassigned, |t| Placement::Owner(t.id)),
+            KeyOwner::Moving | KeyOwner::Unassigned => Placement::Unassigned,
         })
     };
     for (ticket, decision) in decisions {
@@ -237,9 +237,9 @@
     if let SlotReply::Refuse(after) = reply {
         let schedulers = router.schedulers.by_part.borrow();
         let scheduler = schedulers.get(part);
-        let (busy, slots) = scheduler.map_or((0, 0), Scheduler::filled);
+        let (busy, slots) = scheduler.map_or((0, 0), Scheduler::occupancy);
         log::info!(request = origin.id, service:% = service.name, room_in_ms = after, busy = busy,
-            slots = slots, waiting = scheduler.map_or(0, Scheduler::waiting);
+            slots = slots, waiting = scheduler.map_or(0, Scheduler::queue_length);
             "scheduler_refused");
     }
     reply_to(router, origin.from, ticket, reply);
--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -4,7 +4,7 @@
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
-use chicoryrail_policy::return_time;
+use chicoryrail_policy::retry_after;
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::RequestBody;
 use http::Response;
@@ -66,8 +66,8 @@
 ) -> Result<Response<Body>, Refusal> {
     let service = router.service(call.service_name());
     let now = router.now();
-    let bound = router.retry_bound();
-    service.retries.borrow_mut().request(now, &bound);
+    let limits = router.retry_limits();
+    service.retries.borrow_mut().record_request(now, &limits);
     let mut attempts = Attempts {
         router,
         service,
@@ -213,9 +213,9 @@
         if !may || !reached_server {
             return may;
         }
-        let bound = self.router.retry_bound();
+        let limits = self.router.retry_limits();
         let now = self.router.now();
-        let may = self.service.retries.borrow_mut().take(now, &bound);
+        let may = self.service.retries.borrow_mut().try_take(now, &limits);
         if !may {
             log::info!(request = self.call.id, service:% = self.service.name; "no_repeat_left");
         }
@@ -254,7 +254,7 @@
         let left = self.call.time_left(self.router.now());
         Refusal {
             cause,
-            retry_after: Some(return_time(&mut rand::rng(), capacity_in, left)),
+            retry_after: Some(retry_after(&mut rand::rng(), capacity_in, left)),
         }
     }
 
--- a/crates/chicoryrail-router/src/route/choose.rs
+++ b/crates/chicoryrail-router/src/route/choose.rs
@@ -65,10 +65,10 @@
     };
     let work = router.work(&call.route.name, call.route.aim);
     let loads = service.loads.borrow();
-    if loads.has_room(now, target.id) && take_rate_permit(router, call, &target, now) {
+    if loads.has_capacity(now, target.id) && take_rate_permit(router, call, &target, now) {
         return Choice::Send(target);
     }
-    Choice::Wait(Cause::Full, loads.room_in(now, target.id, work))
+    Choice::Wait(Cause::Full, loads.capacity_in(now, target.id, work))
 }
 
 fn choose_unkeyed(
@@ -102,7 +102,7 @@
     }
     let capacity_in = accepting
         .iter()
-        .map(|t| loads.room_in(now, t.id, work))
+        .map(|t| loads.capacity_in(now, t.id, work))
         .min();
     Choice::Wait(Cause::Full, capacity_in.unwrap_or(NO_SERVER_RETRY))
 }
@@ -127,7 +127,7 @@
     {
         return false;
     }
-    let rate_max = router.cold_bound(call.service_name()) * LOCAL_WARMUP_FRACTION;
+    let rate_max = router.warmup_rate_max(call.service_name()) * LOCAL_WARMUP_FRACTION;
     let hosts = router.peers.borrow().sharing_hosts();
-    target.cold.borrow_mut().take(now, rate_max, hosts)
+    target.cold.borrow_mut().try_take(now, rate_max, hosts)
 }
--- a/crates/chicoryrail-router/src/route/in_flight.rs
+++ b/crates/chicoryrail-router/src/route/in_flight.rs
@@ -22,7 +22,7 @@
 impl InFlight {
     /// Counts a request that is about to be sent.
     pub(crate) fn new(service: &Rc<Service>, target: &Rc<Target>, slot: &Rc<SlotGuard>) -> Self {
-        service.loads.borrow_mut().sent(target.id);
+        service.loads.borrow_mut().record_send(target.id);
         Self {
             service: Rc::clone(service),
             target: Rc::clone(target),
@@ -48,7 +48,7 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.service.loads.borrow_mut().ended(self.target.id);
+        self.service.loads.borrow_mut().record_end(self.target.id);
         self.service.changed.notify();
     }
 }
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -6,9 +6,9 @@
 use chicoryrail_core::Millis;
 use chicoryrail_core::RouteKind;
 use chicoryrail_platform::call_header;
+use chicoryrail_policy::AdvertisedRate;
 use chicoryrail_policy::Failure;
 use chicoryrail_policy::LoadReport;
-use chicoryrail_policy::RateNotice;
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::Invariant;
 use chicoryrail_runtime::RequestBody;
@@ -110,7 +110,7 @@
     let (target, slot) = assignment;
     let (target, slot) = (&target, Rc::new(slot));
     let now = router.now();
-    let idle = service.loads.borrow().is_free(now, target.id);
+    let idle = service.loads.borrow().has_free_slot(now, target.id);
     let started = Instant::now();
     let not_run = call.stats.borrow().may_have_run == 0;
     let invariants = &router.process.invariants;
@@ -139,11 +139,11 @@
         None => {
             let work = router.work(&call.route.name, call.route.aim);
             if matches!(sent, SendOutcome::Answered(_)) {
-                loads.answered(now, target.id, elapsed_us, work, idle);
+                loads.record_answer(now, target.id, elapsed_us, work, idle);
                 router.worked(&call.route.name, call.route.aim, elapsed_us);
             }
         }
-        Some(failure) => loads.failed(now, target.id, failure),
+        Some(failure) => loads.record_failure(now, target.id, failure),
     }
     let labels = [service.name.as_str(), sent.name()];
     router.counters.sends.with_label_values(&labels).inc();
@@ -250,7 +250,7 @@
     {
         // The request that this response ends is still counted as one of this host's requests in flight.
         let mut loads = service.loads.borrow_mut();
-        loads.heard(now, target.id, report);
+        loads.apply_report(now, target.id, report);
         slot.record_load(report);
     }
     let warmup_left =
@@ -268,7 +268,7 @@
     if value.is_none() && !headers.contains_key(call_header::STAMP) {
         return;
     }
-    match RateNotice::parse(value) {
+    match AdvertisedRate::parse(value) {
         Ok(notice) => {
             target.hear_limit(router.now(), notice);
             in_flight.slot.record_rate(notice);
--- a/crates/chicoryrail-router/src/route/slot_guard.rs
+++ b/crates/chicoryrail-router/src/route/slot_guard.rs
@@ -6,9 +6,9 @@
 
 use chicoryrail_core::Life;
 use chicoryrail_ownership::SchedulerHost;
+use chicoryrail_policy::AdvertisedRate;
 use chicoryrail_policy::Failure;
 use chicoryrail_policy::LoadReport;
-use chicoryrail_policy::RateNotice;
 
 use crate::control::scheduling;
 use crate::state::Router;
@@ -40,7 +40,7 @@
     elapsed_us: Cell<Option<u64>>,
     kind: Cell<SlotEndKind>,
     report: RefCell<Option<LoadReport>>,
-    rate: Cell<Option<RateNotice>>,
+    rate: Cell<Option<AdvertisedRate>>,
 }
 
 impl SlotGuard {
@@ -81,7 +81,7 @@
     }
 
     /// Records the rate limit that the server advertised.
-    pub(crate) fn record_rate(&self, notice: RateNotice) {
+    pub(crate) fn record_rate(&self, notice: AdvertisedRate) {
         self.rate.set(Some(notice));
     }
 
@@ -103,7 +103,7 @@
         let report = self
             .report
             .borrow()
-            .map(|r| (r.running, r.waiting, r.slots, r.pace));
+            .map(|r| (r.running, r.waiting, r.slots, r.slowdown_percent));
         let end = SlotEnd {
             part: self.part.clone(),
             ticket: self.ticket,
--- a/crates/chicoryrail-router/src/state/believe.rs
+++ b/crates/chicoryrail-router/src/state/believe.rs
@@ -114,7 +114,7 @@
                 if !keep {
                     target.admission.set(Admission::Closed);
                     target.pool.clear();
-                    service.loads.borrow_mut().forget(target.id);
+                    service.loads.borrow_mut().remove(target.id);
                 }
                 keep
             });
@@ -145,7 +145,7 @@
                     header,
                     pool: ServerPool::default(),
                     cold: RefCell::default(),
-                    cold_until: Cell::default(),
+                    warmup_until: Cell::default(),
                     limit: Cell::default(),
                     slots: Cell::new(member.slots),
                     admission: Cell::new(Admission::Closed),
--- a/crates/chicoryrail-router/src/state/organisations.rs
+++ b/crates/chicoryrail-router/src/state/organisations.rs
@@ -10,20 +10,20 @@
 use chicoryrail_core::OrganisationName;
 use chicoryrail_core::QuotaLimit;
 use chicoryrail_core::Site;
+use chicoryrail_policy::ApiKeyIndex;
 use chicoryrail_policy::Freshness;
-use chicoryrail_policy::KeyIndex;
-use chicoryrail_policy::LoneShare;
+use chicoryrail_policy::StandaloneShare;
 
 /// The organisations of the configuration in force, and this host's standalone shares of their rate limits.
 #[derive(Debug)]
 pub(crate) struct Organisations {
     secret: [u8; 16],
-    index: RefCell<KeyIndex>,
+    index: RefCell<ApiKeyIndex>,
     /// Version of the configuration from which the index was built.
     version: Cell<u64>,
     /// When the configuration was last verified to be current.
     freshness: Cell<Freshness>,
-    lone: RefCell<HashMap<OrganisationName, LoneShare>>,
+    lone: RefCell<HashMap<OrganisationName, StandaloneShare>>,
 }
 
 impl Organisations {
@@ -44,7 +44,7 @@
             return false;
         }
         let organisations = site.organisations().unwrap_or_default();
-        *self.index.borrow_mut() = KeyIndex::new(self.secret, organisations);
+        *self.index.borrow_mut() = ApiKeyIndex::new(self.secret, organisations);
         let mut lone = self.lone.borrow_mut();
         lone.retain(|name, _| site.organisation(name).is_some());
         true
@@ -52,13 +52,13 @@
 
     /// Returns the organisation to which an API key belongs.
     pub(crate) fn holder(&self, key: &[u8]) -> Option<Arc<Organisation>> {
-        self.index.borrow().holder(key).cloned()
+        self.index.borrow().find(key).cloned()
     }
 
     /// Records that the configuration was verified to be current at `at`.
     pub(crate) fn prove_current(&self, at: Millis) {
         let mut freshness = self.freshness.get();
-        freshness.prove(at);
+        freshness.mark_current(at);
         self.freshness.set(freshness);
     }
 
@@ -82,6 +82,6 @@
     ) -> Result<(), Millis> {
         let mut lone = self.lone.borrow_mut();
         let share = lone.entry(name.clone()).or_default();
-        share.take(now, limit, hosts)
+        share.try_take(now, limit, hosts)
     }
 }
--- a/crates/chicoryrail-router/src/state/quota_shares.rs
+++ b/crates/chicoryrail-router/src/state/quota_shares.rs
@@ -9,11 +9,11 @@
 use chicoryrail_core::OrganisationName;
 use chicoryrail_core::QuotaLimit;
 use chicoryrail_core::Site;
-use chicoryrail_policy::LONE_AFTER;
+use chicoryrail_policy::QUOTA_LEADER_TIMEOUT;
 use chicoryrail_policy::QuotaGrant;
 use chicoryrail_policy::QuotaReport;
 use chicoryrail_policy::QuotaShare;
-use chicoryrail_policy::ShareBound;
+use chicoryrail_policy::ShareParams;
 use chicoryrail_runtime::Signal;
 
 use crate::state::Router;
@@ -85,12 +85,12 @@
         self.shares.borrow().get(name).map(|s| s.limit)
     }
 
-    fn bound(&self, router: &Router, limit: QuotaLimit) -> ShareBound {
-        ShareBound {
+    fn params(&self, router: &Router, limit: QuotaLimit) -> ShareParams {
+        ShareParams {
             limit,
             schedulers: router.peers.borrow().core_host_count(),
-            lone: self.is_lone(router.now()),
-            allowance: router.quota_allowance(),
+            standalone: self.is_lone(router.now()),
+            tolerance: router.quota_tolerance(),
         }
     }
 
@@ -110,9 +110,9 @@
         let Some(share) = shares.get_mut(name) else {
             return TokenAnswer::Taken;
         };
-        let bound = self.bound(router, share.limit);
-        let taken = share.tokens.take(now, &bound);
-        if share.tokens.is_low(&bound) {
+        let params = self.params(router, share.limit);
+        let taken = share.tokens.try_take(now, &params);
+        if share.tokens.is_low(&params) {
             self.low.notify();
         }
         match taken {
@@ -120,7 +120,7 @@
                 self.waiting.borrow_mut().remove(&ticket);
                 TokenAnswer::Taken
             }
-            Err(_) if share.tokens.may_wait(&bound) && self.record_wait(now, ticket) => {
+            Err(_) if share.tokens.can_wait(&params) && self.record_wait(now, ticket) => {
                 TokenAnswer::Wait
             }
             Err(after) => {
@@ -138,17 +138,17 @@
         now.since(since) < TOKEN_WAIT_MAX
     }
 
-    /// Returns whether this host is standalone: the leader has not answered for [`LONE_AFTER`], so that this host
+    /// Returns whether this host is standalone: the leader has not answered for [`QUOTA_LEADER_TIMEOUT`], so that this host
     /// spends its own share of each limit without grants.
     pub(crate) fn is_lone(&self, now: Millis) -> bool {
         let answered = self.answered.get();
-        answered.is_none_or(|at| now.since(at) > LONE_AFTER)
+        answered.is_none_or(|at| now.since(at) > QUOTA_LEADER_TIMEOUT)
     }
 
     /// Returns the token of a request that did not run.
     pub(crate) fn give_back(&self, name: &OrganisationName) {
         if let Some(share) = self.shares.borrow_mut().get_mut(name) {
-            share.tokens.give_back();
+            share.tokens.refund();
         }
     }
 
@@ -157,9 +157,9 @@
         let now = router.now();
         let mut reports = Vec::new();
         for (name, share) in self.shares.borrow_mut().iter_mut() {
-            let bound = self.bound(router, share.limit);
-            if share.tokens.is_due(now, &bound) {
-                reports.push((name.clone(), share.tokens.report(now, &bound)));
+            let params = self.params(router, share.limit);
+            if share.tokens.is_due(now, &params) {
+                reports.push((name.clone(), share.tokens.report(now, &params)));
             }
         }
         reports
@@ -171,7 +171,7 @@
         let mut shares = self.shares.borrow_mut();
         for (name, grant) in grants {
             if let Some(share) = shares.get_mut(name) {
-                share.tokens.grant(*grant);
+                share.tokens.apply_grant(*grant);
             }
         }
     }
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -21,9 +21,9 @@
 use chicoryrail_platform::FeedLog;
 use chicoryrail_platform::KeyControl;
 use chicoryrail_platform::KvStore;
-use chicoryrail_policy::Allowance;
-use chicoryrail_policy::RetryBound;
-use chicoryrail_policy::WeightedTurn;
+use chicoryrail_policy::QuotaTolerance;
+use chicoryrail_policy::RetryLimits;
+use chicoryrail_policy::WeightedRoundRobin;
 use chicoryrail_runtime::HttpLimits;
 use chicoryrail_runtime::Process;
 use chicoryrail_runtime::SharedLimits;
@@ -107,7 +107,7 @@
     pub(crate) leaves: RefCell<HashMap<HostName, Millis>>,
     services: RefCell<HashMap<ServiceName, Rc<Service>>>,
     /// Weighted round robin of each route over its services.
-    turns: RefCell<HashMap<String, WeightedTurn>>,
+    turns: RefCell<HashMap<String, WeightedRoundRobin>>,
     /// Mean service time of each route's requests, in microseconds.
     work_means: RefCell<HashMap<String, f64>>,
 }
@@ -293,9 +293,9 @@
     }
 
     /// Returns the retry budget that all hosts share.
-    pub(crate) fn retry_bound(&self) -> RetryBound {
+    pub(crate) fn retry_limits(&self) -> RetryLimits {
         let bounds = self.boot().bounds;
-        RetryBound {
+        RetryLimits {
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
             window: bounds.retry_window,
@@ -304,10 +304,10 @@
     }
 
     /// Returns by how much all hosts together may exceed an organisation's limit.
-    pub(crate) fn quota_allowance(&self) -> Allowance {
+    pub(crate) fn quota_tolerance(&self) -> QuotaTolerance {
         let bounds = self.boot().bounds;
-        Allowance {
-            over: bounds.quota_over,
+        QuotaTolerance {
+            ratio: bounds.quota_over,
             slack: bounds.quota_slack,
             window: bounds.quota_window,
         }
@@ -332,7 +332,7 @@
     pub(crate) fn knows_revocations(&self, now: Millis) -> bool {
         let bound = self.boot().bounds.revoke;
         let freshness = self.organisations.freshness();
-        bound.is_none_or(|bound| freshness.holds(now, bound))
+        bound.is_none_or(|bound| freshness.is_fresh(now, bound))
     }
 
     /// Returns whether this host recently received messages of any other: heartbeats on a core host, replies of the
@@ -358,7 +358,7 @@
     }
 
     /// Returns the bound on requests per second that all hosts together may send to a server that is warming up.
-    pub(crate) fn cold_bound(&self, service: &ServiceName) -> f64 {
+    pub(crate) fn warmup_rate_max(&self, service: &ServiceName) -> f64 {
         let bounds = self.boot().bounds;
         let site = self.site();
         let rate = site.and_then(|s| s.service(service).map(|s| s.cold_rate));
--- a/crates/chicoryrail-router/src/state/schedulers.rs
+++ b/crates/chicoryrail-router/src/state/schedulers.rs
@@ -9,7 +9,7 @@
 use chicoryrail_core::Millis;
 use chicoryrail_core::OrganisationName;
 use chicoryrail_core::ServiceName;
-use chicoryrail_policy::PartRooms;
+use chicoryrail_policy::RemoteFreeSlots;
 use chicoryrail_policy::Scheduler;
 
 use crate::talk::PartName;
@@ -36,7 +36,7 @@
     /// Data centres by their number.
     dcs: RefCell<Vec<DcName>>,
     /// Free slots that the schedulers of divided services reported.
-    free_slots: RefCell<BTreeMap<ServiceName, PartRooms>>,
+    free_slots: RefCell<BTreeMap<ServiceName, RemoteFreeSlots>>,
 }
 
 impl Schedulers {
@@ -47,14 +47,14 @@
         };
         let mut free_slots = self.free_slots.borrow_mut();
         let service = free_slots.entry(room.part.service.clone()).or_default();
-        service.heard(now, dc, room.free);
+        service.update(now, dc, room.free);
     }
 
     /// Takes a free slot of another part of the same service and returns the data centre of that part.
     pub(crate) fn take_room(&self, now: Millis, part: &PartName) -> Option<DcName> {
         let own = part.dc.as_ref()?;
         let mut free_slots = self.free_slots.borrow_mut();
-        free_slots.get_mut(&part.service)?.take(now, own)
+        free_slots.get_mut(&part.service)?.take_slot(now, own)
     }
 
     /// Returns the number that identifies a data centre in the schedulers of this host.
--- a/crates/chicoryrail-router/src/state/service.rs
+++ b/crates/chicoryrail-router/src/state/service.rs
@@ -11,9 +11,9 @@
 use chicoryrail_core::Millis;
 use chicoryrail_core::ServiceName;
 use chicoryrail_ownership::keys::KeyView;
+use chicoryrail_policy::LocalBalancer;
+use chicoryrail_policy::RetryBudget;
 use chicoryrail_policy::ServerId;
-use chicoryrail_policy::SharedRetries;
-use chicoryrail_policy::SharedServers;
 use chicoryrail_runtime::Signal;
 
 use crate::state::Target;
@@ -32,9 +32,9 @@
 pub(crate) struct Service {
     pub(crate) name: ServiceName,
     /// Load of the servers, as far as this host knows.
-    pub(crate) loads: RefCell<SharedServers>,
+    pub(crate) loads: RefCell<LocalBalancer>,
     /// Retry budget of this host.
-    pub(crate) retries: RefCell<SharedRetries>,
+    pub(crate) retries: RefCell<RetryBudget>,
     /// Owners of the keys, if the service is keyed.
     pub(crate) keys: RefCell<KeyView>,
     /// Notified when a request ends at a server, or when servers or key owners change.
--- a/crates/chicoryrail-router/src/state/target.rs
+++ b/crates/chicoryrail-router/src/state/target.rs
@@ -7,10 +7,10 @@
 use chicoryrail_core::DcName;
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
-use chicoryrail_policy::ColdPace;
-use chicoryrail_policy::RateNotice;
+use chicoryrail_policy::AdvertisedLimit;
+use chicoryrail_policy::AdvertisedRate;
 use chicoryrail_policy::ServerId;
-use chicoryrail_policy::ServerLimit;
+use chicoryrail_policy::WarmupPacer;
 use chicoryrail_runtime::ServerPool;
 use http::HeaderValue;
 
@@ -42,11 +42,11 @@
     pub(crate) header: HeaderValue,
     pub(crate) pool: ServerPool,
     /// Pacing of requests while the server warms up.
-    pub(crate) cold: RefCell<ColdPace>,
+    pub(crate) cold: RefCell<WarmupPacer>,
     /// End of the warm-up, as far as is known.
-    pub(crate) cold_until: Cell<Millis>,
+    pub(crate) warmup_until: Cell<Millis>,
     /// Rate limit that the server's responses advertise.
-    pub(crate) limit: Cell<ServerLimit>,
+    pub(crate) limit: Cell<AdvertisedLimit>,
     /// Maximum number of concurrent requests.
     pub(crate) slots: Cell<u32>,
     pub(crate) admission: Cell<Admission>,
@@ -71,13 +71,13 @@
 
     /// Returns whether the server is warming up.
     pub(crate) fn is_cold(&self, now: Millis) -> bool {
-        now < self.cold_until.get()
+        now < self.warmup_until.get()
     }
 
     /// Records the rate limit that a response advertised, and logs it if it changed.
-    pub(crate) fn hear_limit(&self, now: Millis, notice: RateNotice) {
+    pub(crate) fn hear_limit(&self, now: Millis, notice: AdvertisedRate) {
         let mut limit = self.limit.get();
-        if limit.heard(now, notice) {
+        if limit.record(now, notice) {
             let from = self.limit.get().rate(now);
             log::info!(server:% = self.life, from:? = from, to:? = limit.rate(now); "server_limit");
         }
@@ -87,7 +87,8 @@
     /// Extends the warm-up to `left` from now; it is never shortened.
     pub(crate) fn cold_for(&self, now: Millis, left: Millis) {
         if left > Millis::ZERO {
-            self.cold_until.set(self.cold_until.get().max(now + left));
+            self.warmup_until
+                .set(self.warmup_until.get().max(now + left));
         }
     }
 }
--- a/crates/chicoryrail-router/src/talk/packet.rs
+++ b/crates/chicoryrail-router/src/talk/packet.rs
@@ -12,7 +12,7 @@
 use chicoryrail_ownership::keys::KeyRange;
 use chicoryrail_ownership::keys::KeyRecord;
 use chicoryrail_ownership::keys::OwnedRange;
-use chicoryrail_policy::RateNotice;
+use chicoryrail_policy::AdvertisedRate;
 
 use crate::talk::PartName;
 use crate::talk::PartRoom;
@@ -197,7 +197,7 @@
     Limited(f64),
 }
 
-impl From<SaidRate> for RateNotice {
+impl From<SaidRate> for AdvertisedRate {
     fn from(rate: SaidRate) -> Self {
         match rate {
             SaidRate::Unlimited => Self::Unlimited,
@@ -206,11 +206,11 @@
     }
 }
 
-impl From<RateNotice> for SaidRate {
-    fn from(notice: RateNotice) -> Self {
+impl From<AdvertisedRate> for SaidRate {
+    fn from(notice: AdvertisedRate) -> Self {
         match notice {
-            RateNotice::Unlimited => Self::Unlimited,
-            RateNotice::Limited(rate) => Self::Limited(rate),
+            AdvertisedRate::Unlimited => Self::Unlimited,
+            AdvertisedRate::Limited(rate) => Self::Limited(rate),
         }
     }
 }
