--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -14,8 +14,8 @@
 use futures_util::future::select;
 use rand::Rng;
 
+use crate::messages::FEED_COUNT;
 use crate::state::Router;
-use crate::talk::FEED_COUNT;
 
 /// Longest wait of one watch. A silent connection is usually detected sooner, by TCP keep-alive probes or by other
 /// calls; this bounds the time if a proxy in between answers the probes. The revision from which the next watch
@@ -51,7 +51,7 @@
 ///
 /// Each feed has its own watch and its own pause after changes. Key records are not watched: they are written twice for
 /// each move of keys, and would wake every host.
-pub(crate) fn follow_all(router: &Rc<Router>) {
+pub(crate) fn follow_feeds(router: &Rc<Router>) {
     for feed in FEEDS {
         monoio::spawn(follow(Rc::clone(router), feed));
     }
@@ -78,7 +78,7 @@
                         .view
                         .borrow_mut()
                         .replace(router.now(), KEY_RECORDS, &all);
-                router.believe(&view_changes);
+                router.apply_changes(&view_changes);
             }
             Err(e) => record_store_call(&router, "records", Some(&e)),
         }
@@ -140,14 +140,14 @@
     record_store_call(router, "snapshot", None);
     apply_snapshot(router, feed, &all);
     if feed == Feed::Operator {
-        router.organisations.prove_current(sent);
+        router.organisations.mark_current(sent);
     }
     loop {
-        let after = router.view.borrow().heard(feed).unwrap_or_default();
-        let returns = router.store_returns.count();
+        let after = router.view.borrow().read_revision(feed).unwrap_or_default();
+        let returns = router.store_recovered.count();
         let lost = router.store_lost.get();
         let watch = pin!(store.changes(&prefix, after, WATCH_MAX));
-        let returned = pin!(router.store_returns.after(returns));
+        let returned = pin!(router.store_recovered.after(returns));
         let changes = match select(watch, returned).await {
             Either::Left((changes, _)) => changes,
             // The watch was sent before an outage, so its connection may be dead.
@@ -193,8 +193,8 @@
         return;
     }
     let view_changes = router.view.borrow_mut().replace(router.now(), feed, all);
-    router.believe(&view_changes);
-    router.news.notify();
+    router.apply_changes(&view_changes);
+    router.feed_changed.notify();
 }
 
 /// Applies changes of a feed, and notifies the hosts that follow this one; returns whether the view changed.
@@ -208,18 +208,18 @@
     let now = router.now();
     let view_changes: Vec<_> = {
         let mut view = router.view.borrow_mut();
-        view.hear(feed, changes.revision);
+        view.advance(feed, changes.revision);
         let fresh = fresh.into_iter();
         fresh.filter_map(|c| view.apply(now, c)).collect()
     };
-    router.believe(&view_changes);
-    router.news.notify();
+    router.apply_changes(&view_changes);
+    router.feed_changed.notify();
     !view_changes.is_empty()
 }
 
 /// Returns the pause after changes of a feed, in which further changes accumulate.
 fn batch_pause(router: &Router, feed: Feed) -> Millis {
-    if feed == Feed::Operator || router.leads.get() > 0 {
+    if feed == Feed::Operator || router.leading_term.get() > 0 {
         return BATCH_PAUSE_MIN;
     }
     let hosts = router.peers.borrow().sharing_hosts() as u64;
@@ -243,7 +243,7 @@
     let seconds = started.elapsed().as_secs_f64();
     router
         .counters
-        .store_took
+        .store_time
         .with_label_values(&[name])
         .observe(seconds);
     record_store_call(router, name, result.as_ref().err());
@@ -259,19 +259,19 @@
     let result = if down { "outage" } else { "answered" };
     router
         .counters
-        .store
+        .store_calls
         .with_label_values(&[call, result])
         .inc();
     if router.store_up.get() != down {
         return;
     }
     router.store_up.set(!down);
-    router.news.notify();
+    router.feed_changed.notify();
     if let Some(e) = error.filter(|_| down) {
         log::warn!(call = call, error:% = e; "store_lost");
     } else {
-        router.view.borrow_mut().store_back(router.now());
-        router.store_returns.notify();
+        router.view.borrow_mut().record_recovery(router.now());
+        router.store_recovered.notify();
         log::info!(call = call; "store_back");
     }
 }
--- a/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
@@ -24,17 +24,17 @@
 use crate::control::config_feed::relay::POLL_MAX;
 use crate::control::config_feed::relay::RELAY_PATH;
 use crate::control::scheduling;
+use crate::messages::ConfigAge;
+use crate::messages::DecompressionError;
+use crate::messages::ENCODING;
+use crate::messages::KeyFence;
+use crate::messages::RelayReply;
+use crate::messages::RelayRequest;
+use crate::messages::decode;
+use crate::messages::decompress;
+use crate::messages::encode;
 use crate::state::Router;
 use crate::state::Source;
-use crate::talk::ConfigAge;
-use crate::talk::DecompressionError;
-use crate::talk::ENCODING;
-use crate::talk::KeyFence;
-use crate::talk::RelayReply;
-use crate::talk::RelayRequest;
-use crate::talk::decode;
-use crate::talk::decompress;
-use crate::talk::encode;
 
 /// Time beyond the relay's longest wait after which it counts as lost, and longest pause within an arriving reply. A
 /// busy host with a tenth of a core replies within it. If a watcher and then a relay are lost, both are detected soon
@@ -92,7 +92,7 @@
         let sent = router.now();
         match poll(&router, &client, addr).await {
             Ok(reply) => {
-                router.source.replied.set(router.now());
+                router.source.last_reply.set(router.now());
                 let config_age = reply.config;
                 apply_reply(&router, reply);
                 if let Some(age) = config_age {
@@ -107,7 +107,7 @@
                     .record_relay_failure(router.now(), addr);
             }
         }
-        // After a failure, `choose_source` selects another relay during this pause.
+        // After a failure, `select_source` selects another relay during this pause.
         router.process.clock.sleep(POLL_PAUSE).await;
     }
 }
@@ -130,7 +130,7 @@
         further: REPLY_SLACK,
     };
     // A reply that is still arriving counts as one, so that a leaf host does not turn to the store meanwhile.
-    let arrived = || router.source.replied.set(router.now());
+    let arrived = || router.source.last_reply.set(router.now());
     let sent = router.now();
     let response = client.call_while_arriving(addr, request, wait, arrived);
     let response = response.await.context(CallSnafu)?;
@@ -165,7 +165,7 @@
         host: router.boot().host.clone(),
         leaf: !router.source.core.get(),
         store: router.store_up.get(),
-        revisions: FEEDS.map(|feed| view.heard(feed)),
+        revisions: FEEDS.map(|feed| view.read_revision(feed)),
         fences: fences.collect(),
     }
 }
@@ -188,7 +188,7 @@
     }
     for map in reply.keys {
         let service = router.service(&map.service);
-        router.key_record(&service, map.ranges.to_record(map.fence));
+        router.apply_key_record(&service, map.ranges.to_record(map.fence));
         scheduling::redirect_moved_keys(router, &service);
     }
     let mut peers = router.peers.borrow_mut();
@@ -207,7 +207,7 @@
     let written_at = sent + Millis(age.held_ms);
     let current_at = written_at.0.checked_sub(age.age_ms);
     if let Some(at) = current_at {
-        router.organisations.prove_current(Millis(at));
+        router.organisations.mark_current(Millis(at));
     }
 }
 
@@ -217,7 +217,7 @@
     let now = router.now();
     if let Some(age) = back {
         let at = Millis(now.0.saturating_sub(age.0));
-        router.view.borrow_mut().store_back(at);
+        router.view.borrow_mut().record_recovery(at);
     }
     if !router.source.core.get() && router.store_up.get() != up {
         router.store_up.set(up);
--- a/crates/chicoryrail-router/src/control/config_feed/mod.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/mod.rs
@@ -3,10 +3,10 @@
 
 pub(super) mod follow;
 mod follow_relay;
-mod prove_config;
 mod relay;
+mod verify_config;
 
-pub(crate) use follow::follow_all;
+pub(crate) use follow::follow_feeds;
 pub(crate) use follow_relay::follow_relay;
-pub(crate) use prove_config::prove_config;
-pub(crate) use relay::relay;
+pub(crate) use relay::serve_relay;
+pub(crate) use verify_config::verify_config;
--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -18,17 +18,17 @@
 use http::header::CONTENT_ENCODING;
 use monoio::time::timeout;
 
+use crate::messages::ConfigAge;
+use crate::messages::CoreState;
+use crate::messages::ENCODING;
+use crate::messages::KeyMap;
+use crate::messages::KeyRanges;
+use crate::messages::RelayReply;
+use crate::messages::RelayRequest;
+use crate::messages::compress;
+use crate::messages::decode;
+use crate::messages::encode;
 use crate::state::Router;
-use crate::talk::ConfigAge;
-use crate::talk::CoreState;
-use crate::talk::ENCODING;
-use crate::talk::KeyMap;
-use crate::talk::KeyRanges;
-use crate::talk::RelayReply;
-use crate::talk::RelayRequest;
-use crate::talk::compress;
-use crate::talk::decode;
-use crate::talk::encode;
 
 /// Longest time for which a reply waits for changes. A host that gets no reply for longer turns to another relay.
 pub(super) const POLL_MAX: Millis = Millis(400);
@@ -40,7 +40,7 @@
 pub(super) const RELAY_PATH: &str = "/relay";
 
 /// Replies to a host that follows this one when there are changes for it, or after [`POLL_MAX`].
-pub(crate) async fn relay(router: Rc<Router>, request: Request<Body>) -> Response<Body> {
+pub(crate) async fn serve_relay(router: Rc<Router>, request: Request<Body>) -> Response<Body> {
     if request.uri().path() != RELAY_PATH {
         return error_answer(404, "no such page");
     }
@@ -53,18 +53,18 @@
         return error_answer(400, "the request can't be read");
     };
     if poll.leaf {
-        let mut leaves = router.leaves.borrow_mut();
+        let mut leaves = router.leaf_requests.borrow_mut();
         leaves.insert(poll.host.clone(), router.now());
     }
     let received = router.now();
     let end = received + POLL_MAX;
     loop {
-        let seen = router.news.count();
+        let seen = router.feed_changed.count();
         let remaining = end.since(router.now());
         if remaining == Millis::ZERO || has_changes(&router, &poll) {
             break;
         }
-        let _ = timeout(remaining.duration(), router.news.after(seen)).await;
+        let _ = timeout(remaining.duration(), router.feed_changed.after(seen)).await;
     }
     match encode(&reply(&router, &poll, received)) {
         Ok(bytes) if compressed => compressed_response(bytes),
@@ -119,7 +119,11 @@
         leader: peers.leader().cloned(),
         leader_ms: router.leader_age().map(|age| age.0),
         store: router.store_up.get(),
-        back_ms: router.view.borrow().back().map(|at| now.since(at).0),
+        back_ms: router
+            .view
+            .borrow()
+            .recovered_at()
+            .map(|at| now.since(at).0),
         config: config_age(router, now, received),
     }
 }
@@ -157,7 +161,7 @@
     let recent = peers.recent_peers(router.now());
     let others = recent.map(|(host, addr, state)| core_state(host, addr, state));
     let boot = router.boot();
-    let own = core_state(&boot.host, router.talk_addr(), &router.host_state());
+    let own = core_state(&boot.host, router.peer_addr(), &router.host_state());
     others.chain([own]).collect()
 }
 
--- a/crates/chicoryrail-router/src/control/config_feed/prove_config.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
@@ -18,7 +18,7 @@
 ///
 /// A watch without changes can't be told from one whose connection is dead, and a renewed lease shows nothing about
 /// other keys. Only a read verifies that the configuration is current, as of the time when the read was sent.
-pub(crate) async fn prove_config(router: Rc<Router>) {
+pub(crate) async fn verify_config(router: Rc<Router>) {
     loop {
         let changed = router.source.changed.count();
         let pause = match needs_verification(&router) {
@@ -49,7 +49,7 @@
             if !is_applied {
                 apply_snapshot(router, Feed::Operator, &all);
             }
-            router.organisations.prove_current(sent);
+            router.organisations.mark_current(sent);
             VERIFICATION_INTERVAL.since(router.now().since(sent))
         }
         Err(e) => {
--- a/crates/chicoryrail-router/src/control/gossip.rs
+++ b/crates/chicoryrail-router/src/control/gossip.rs
@@ -16,13 +16,13 @@
 use crate::control::quota;
 use crate::control::quota::QuotaPools;
 use crate::control::scheduling;
+use crate::messages::Heartbeat;
+use crate::messages::KeyDemand;
+use crate::messages::KeyRanges;
+use crate::messages::KeyUpdate;
+use crate::messages::Packet;
+use crate::messages::SlotReply;
 use crate::state::Router;
-use crate::talk::Heartbeat;
-use crate::talk::KeyDemand;
-use crate::talk::KeyRanges;
-use crate::talk::KeyUpdate;
-use crate::talk::Packet;
-use crate::talk::SlotReply;
 
 /// Time between two heartbeats to each other host while nothing changes. A leader that was cut off from the store
 /// learns of its successor within this time.
@@ -97,7 +97,7 @@
 
     fn handle_slot_reply(&self, ticket: u64, reply: SlotReply) {
         // The request no longer waits. The scheduler frees the assigned slot when the request's deadline has passed.
-        if !self.router.asks.replied(ticket, reply) {
+        if !self.router.pending_queries.deliver(ticket, reply) {
             log::debug!(ticket = ticket; "reply_late");
         }
     }
@@ -110,10 +110,10 @@
                 continue;
             }
             let seen = self.leadership.changed.count();
-            let leads = self.router.leads.get() > 0;
+            let leads = self.router.leading_term.get() > 0;
             let heartbeat = Packet::Heartbeat(self.heartbeat(leads));
             let addrs = self.router.peers.borrow().addrs();
-            self.router.talk.send_all(&heartbeat, &addrs).await;
+            self.router.peer_socket.send_all(&heartbeat, &addrs).await;
             self.report_service_rates(leads, &addrs).await;
             let change = self.leadership.changed.after(seen);
             let _ = monoio::time::timeout(HEARTBEAT_INTERVAL.duration(), change).await;
@@ -135,7 +135,7 @@
             let packet = Packet::Rooms(free);
             // This host may schedule the parts of several data centres, so it applies its own counts too.
             scheduling::handle_packet(&self.router, &packet, None);
-            self.router.talk.send_all(&packet, &addrs).await;
+            self.router.peer_socket.send_all(&packet, &addrs).await;
         }
     }
 
@@ -148,14 +148,14 @@
                 .max(DEMAND_REPORT_INTERVAL_MIN);
             self.router.process.clock.sleep(pause).await;
             let demands = self.take_key_demand();
-            if self.router.leads.get() > 0 {
+            if self.router.leading_term.get() > 0 {
                 self.handle_key_demand(&demands);
                 continue;
             }
             let leader = self.router.peers.borrow().leader_addr();
             if let Some(leader) = leader.filter(|_| !demands.is_empty()) {
                 self.router
-                    .talk
+                    .peer_socket
                     .send(&Packet::KeyDemand(demands), leader)
                     .await;
             }
@@ -222,7 +222,7 @@
     fn take_key_demand(&self) -> Vec<KeyDemand> {
         let mut demands = Vec::new();
         for service in self.router.services() {
-            let keys = std::mem::take(&mut *service.asked.borrow_mut());
+            let keys = std::mem::take(&mut *service.requested_keys.borrow_mut());
             if keys.is_empty() {
                 continue;
             }
@@ -244,7 +244,10 @@
         let leader = self.router.peers.borrow().leader_addr();
         let to = leader.as_ref().map_or(addrs, std::slice::from_ref);
         if !rates.is_empty() {
-            self.router.talk.send_all(&Packet::Paces(rates), to).await;
+            self.router
+                .peer_socket
+                .send_all(&Packet::Paces(rates), to)
+                .await;
         }
     }
 
@@ -263,7 +266,7 @@
                 leaf_hosts: heartbeat.leaves,
             };
             peers.record_heartbeat(now, &heartbeat.host, from, state);
-            let host_count = peers.host_count(now, self.router.leaves());
+            let host_count = peers.host_count(now, self.router.leaf_count());
             peers.update_max_hosts(host_count);
             let leader = heartbeat.leads.then_some(&heartbeat.host);
             if heartbeat.leads && heartbeat.term >= known_term {
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -41,7 +41,7 @@
 const LEADER_CHECK_INTERVAL: Millis = Millis(100);
 
 /// Campaigns whenever there is no leader, and leads after each election that this host wins.
-pub(crate) async fn elect(router: Rc<Router>, leadership: Rc<LeaderTerm>) {
+pub(crate) async fn run_election(router: Rc<Router>, leadership: Rc<LeaderTerm>) {
     loop {
         router.process.clock.sleep(LEADER_CHECK_INTERVAL).await;
         if router.process.stop.is_cancelled() {
@@ -49,7 +49,7 @@
         }
         let core = router.source.core.get();
         let may_campaign =
-            core && router.view.borrow().heard(LIVE).is_some() && router.store_up.get();
+            core && router.view.borrow().read_revision(LIVE).is_some() && router.store_up.get();
         if !may_campaign || router.view.borrow().own(LEADER).is_some() {
             continue;
         }
@@ -62,7 +62,7 @@
         {
             wait = wait + FEWER_REACHED_DELAY;
         }
-        if router.knows_stronger() {
+        if router.has_stronger_peer() {
             wait = wait + WEAKER_HOST_DELAY;
         }
         if !router.source.watches() {
@@ -129,7 +129,7 @@
     leadership.term.set(term);
     leadership.lease_ttl.set(ttl);
     leadership.confirmed_at.set(router.now());
-    router.leads.set(term);
+    router.leading_term.set(term);
     router.counters.leading.set(1);
     let host = router.boot().host.clone();
     router.peers.borrow_mut().observe_term(term, Some(&host));
@@ -143,7 +143,7 @@
     let reason = hold_leadership(router, leadership, term, lease).await;
     leadership.term.set(0);
     leadership.key_updates.borrow_mut().clear();
-    router.leads.set(0);
+    router.leading_term.set(0);
     router.counters.leading.set(0);
     log::info!(term = term, why = reason; "leader_lost");
     leadership.steps_down.set(false);
@@ -185,7 +185,7 @@
             }
             // The leader should be a host that can keep up: a slow one delays every request that it schedules.
             // During a store outage no other host could take over.
-            if router.store_up.get() && router.knows_stronger() {
+            if router.store_up.get() && router.has_stronger_peer() {
                 return "stronger_host";
             }
             if leadership.term.get() != term {
--- a/crates/chicoryrail-router/src/control/leader/key_calls.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_calls.rs
@@ -170,7 +170,7 @@
         counters.key_calls.with_label_values(&[call, result]).inc();
         let seconds = started.elapsed().as_secs_f64();
         counters
-            .key_took
+            .key_time
             .with_label_values(&[call])
             .observe(seconds);
     }
--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -116,7 +116,7 @@
         spans = record.spans.len(), loose = record.loose.len(); "keys_taken_over");
     let now = router.now();
     let stored_fence = record.fence;
-    let after_outage = router.store_was_away(now, OUTAGE_MEMORY);
+    let after_outage = router.store_was_down(now, OUTAGE_MEMORY);
     let timing = KeyTiming::default();
     let leases = KeyLeases::take_over(record, timing, now, rand::random(), after_outage);
     Ok(KeyLeader {
@@ -140,7 +140,7 @@
         let mut announced = None;
         while self.leadership.term.get() == self.term {
             let ended = self.call_ended.count();
-            let outage = self.router.all_lost_store(self.router.now());
+            let outage = self.router.store_down_everywhere(self.router.now());
             self.leases.borrow_mut().set_store_down(outage);
             self.update_servers();
             self.check_reachability();
@@ -178,7 +178,8 @@
         log::info!(service:% = self.service, fence = fence, blocked = blocked.len(),
             keys:? = blocked.iter().map(|s| s.len()).sum::<u32>(); "keys_blocked");
         let service = self.router.service(&self.service);
-        self.router.key_record(&service, leases.record().clone());
+        self.router
+            .apply_key_record(&service, leases.record().clone());
         service
             .keys
             .borrow_mut()
--- a/crates/chicoryrail-router/src/control/leader/leader_term.rs
+++ b/crates/chicoryrail-router/src/control/leader/leader_term.rs
@@ -12,8 +12,8 @@
 use chicoryrail_ownership::keys::KeyRecord;
 use chicoryrail_runtime::Signal;
 
+use crate::messages::ServerPace;
 use crate::state::Router;
-use crate::talk::ServerPace;
 
 /// Share of the lease's TTL, in percent, for which a leader relies on its last confirmed renewal.
 const LEASE_TRUSTED_PERCENT: u64 = 80;
--- a/crates/chicoryrail-router/src/control/leader/mod.rs
+++ b/crates/chicoryrail-router/src/control/leader/mod.rs
@@ -8,5 +8,5 @@
 mod leader_term;
 mod plan_keys;
 
-pub(crate) use elect::elect;
+pub(crate) use elect::run_election;
 pub(crate) use leader_term::LeaderTerm;
--- a/crates/chicoryrail-router/src/control/leader/plan_keys.rs
+++ b/crates/chicoryrail-router/src/control/leader/plan_keys.rs
@@ -78,8 +78,9 @@
             let ready = targets.values().filter(|t| t.is_ready());
             let ready = ready.filter(|t| !leases.is_lost(now, &t.life));
             let owns = |life: &Life| owners.contains(life);
-            let ready = ready.filter(|t| owns(&t.life) || now.since(t.known) >= SERVER_SETTLE_TIME);
-            let warm = ready.filter(|t| include_warmup || !t.is_cold(now) || owns(&t.life));
+            let ready =
+                ready.filter(|t| owns(&t.life) || now.since(t.first_seen) >= SERVER_SETTLE_TIME);
+            let warm = ready.filter(|t| include_warmup || !t.is_warming_up(now) || owns(&t.life));
             let mut candidates: Vec<_> = warm
                 .map(|t| KeyCandidate {
                     life: t.life.clone(),
--- a/crates/chicoryrail-router/src/control/membership/mod.rs
+++ b/crates/chicoryrail-router/src/control/membership/mod.rs
@@ -3,5 +3,5 @@
 mod presence;
 mod source;
 
-pub(crate) use presence::be_present;
-pub(crate) use source::choose_source;
+pub(crate) use presence::register_core_host;
+pub(crate) use source::select_source;
--- a/crates/chicoryrail-router/src/control/membership/presence.rs
+++ b/crates/chicoryrail-router/src/control/membership/presence.rs
@@ -28,7 +28,7 @@
 
 /// Waits until this host should be a core host, and then keeps its key in the store. The key's value holds `addr`, the
 /// address for datagrams from other hosts, and the host's power.
-pub(crate) async fn be_present(router: Rc<Router>, addr: SocketAddr) {
+pub(crate) async fn register_core_host(router: Rc<Router>, addr: SocketAddr) {
     join_core(&router).await;
     log::info!(power = router.power(); "core_host");
     router.source.core.set(true);
--- a/crates/chicoryrail-router/src/control/membership/source.rs
+++ b/crates/chicoryrail-router/src/control/membership/source.rs
@@ -42,7 +42,7 @@
 const READ_RETRY_INTERVAL: Millis = Millis(200);
 
 /// Selects the source again at short intervals, and notifies the tasks that use it when it changes.
-pub(crate) async fn choose_source(router: Rc<Router>) {
+pub(crate) async fn select_source(router: Rc<Router>) {
     let spread = rand::rng().random_range(0..RELAY_SILENCE_JITTER.0);
     let relay_timeout = RELAY_SILENCE_MAX + Millis(spread);
     loop {
@@ -60,7 +60,7 @@
 fn preferred_source(router: &Router, relay_timeout: Millis) -> Source {
     let now = router.now();
     let state = &router.source;
-    let Some(listed) = state.listed.get() else {
+    let Some(listed) = state.core_known_at.get() else {
         return Source::Unknown;
     };
     let peers = router.peers.borrow();
@@ -75,7 +75,7 @@
         let watcher = peers.select_watcher(now, &boot.host, &boot.dc);
         return watcher.map_or(Source::Store, Source::Relay);
     }
-    if now.since(state.replied.get().max(listed)) > relay_timeout {
+    if now.since(state.last_reply.get().max(listed)) > relay_timeout {
         return Source::Store;
     }
     let relay = peers.select_core_host(now, &boot.host, &boot.dc);
@@ -131,8 +131,8 @@
         Ok(all) => {
             record_store_call(router, "snapshot", None);
             apply_snapshot(router, LIVE, &all);
-            let listed = router.source.listed.get().unwrap_or(router.now());
-            router.source.listed.set(Some(listed));
+            let listed = router.source.core_known_at.get().unwrap_or(router.now());
+            router.source.core_known_at.set(Some(listed));
             true
         }
         Err(e) => {
@@ -148,7 +148,7 @@
     if view.own(&host_key(&router.boot().host)).is_some() {
         return true;
     }
-    let listed = view.own_below(HOSTS);
+    let listed = view.own_with_prefix(HOSTS);
     let listed = listed.filter_map(|(_, item)| CoreHost::from_value(&item.value));
     should_join_core(router.power(), listed)
 }
--- a/crates/chicoryrail-router/src/control/quota/leases.rs
+++ b/crates/chicoryrail-router/src/control/quota/leases.rs
@@ -13,10 +13,10 @@
 use chicoryrail_policy::QuotaPool;
 use monoio::time::timeout;
 
+use crate::messages::Packet;
+use crate::messages::QuotaGrants;
+use crate::messages::QuotaReports;
 use crate::state::Router;
-use crate::talk::Packet;
-use crate::talk::QuotaGrants;
-use crate::talk::QuotaReports;
 
 /// Time between two reports of a host to the leader, and the least time when an organisation's tokens run low.
 const REPORT_INTERVAL: Millis = Millis(100);
@@ -53,7 +53,7 @@
         router: &Router,
         reports: &QuotaReports,
     ) -> Option<QuotaGrants> {
-        let term = router.leads.get();
+        let term = router.leading_term.get();
         if term == 0 || router.site().is_none() {
             return None;
         }
@@ -102,16 +102,16 @@
 }
 
 /// Reports this host's use of tokens to the leader at intervals, and sooner when an organisation's tokens run low.
-pub(crate) async fn report_use(router: Rc<Router>, pools: Rc<QuotaPools>) {
+pub(crate) async fn report_quota_use(router: Rc<Router>, pools: Rc<QuotaPools>) {
     loop {
         if !router.source.core.get() || !router.quota.has_limits() {
             router.process.clock.sleep(IDLE_INTERVAL).await;
             continue;
         }
-        let low = router.quota.low.count();
+        let low = router.quota.low_tokens.count();
         router.process.clock.sleep(REPORT_INTERVAL_LOW).await;
         let left = REPORT_INTERVAL - REPORT_INTERVAL_LOW;
-        let _ = timeout(left.duration(), router.quota.low.after(low)).await;
+        let _ = timeout(left.duration(), router.quota.low_tokens.after(low)).await;
         send_reports(&router, &pools).await;
     }
 }
@@ -124,14 +124,14 @@
         let rest = reports.split_off(reports.len().min(ORGANISATIONS_PER_REPORT));
         let packet = QuotaReports {
             host: router.boot().host.clone(),
-            lone: router.quota.is_lone(router.now()),
+            lone: router.quota.is_standalone(router.now()),
             reports,
         };
         if let Some(grants) = pools.handle_report(router, &packet) {
-            router.quota.granted(router.now(), &grants.grants);
+            router.quota.apply_grants(router.now(), &grants.grants);
         } else if let Some(leader) = leader {
             let packet = Packet::QuotaReports(packet);
-            router.talk.send(&packet, leader).await;
+            router.peer_socket.send(&packet, leader).await;
         }
         if rest.is_empty() {
             return;
@@ -148,7 +148,9 @@
     from: SocketAddr,
 ) {
     if let Some(grants) = pools.handle_report(router, reports) {
-        router.talk.post(Packet::QuotaGrants(grants), from);
+        router
+            .peer_socket
+            .send_detached(Packet::QuotaGrants(grants), from);
     }
 }
 
@@ -156,6 +158,6 @@
 /// and the new leader would grant the same tokens again.
 pub(crate) fn apply_grants(router: &Router, grants: &QuotaGrants) {
     if grants.term >= router.peers.borrow().highest_term() {
-        router.quota.granted(router.now(), &grants.grants);
+        router.quota.apply_grants(router.now(), &grants.grants);
     }
 }
--- a/crates/chicoryrail-router/src/control/quota/mod.rs
+++ b/crates/chicoryrail-router/src/control/quota/mod.rs
@@ -5,4 +5,4 @@
 pub(crate) use leases::QuotaPools;
 pub(crate) use leases::apply_grants;
 pub(crate) use leases::reply_to_report;
-pub(crate) use leases::report_use;
+pub(crate) use leases::report_quota_use;
--- a/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
@@ -6,9 +6,9 @@
 use chicoryrail_ownership::SchedulerHost;
 
 use crate::control::scheduling::requests::poll;
+use crate::messages::PartName;
+use crate::messages::ServerPace;
 use crate::state::Router;
-use crate::talk::PartName;
-use crate::talk::ServerPace;
 
 /// Time between two polls of waiting requests. It covers changes that no message reports to the scheduler: a server
 /// warms up, ends a pause, or is granted its keys.
@@ -22,7 +22,7 @@
 const RENDEZVOUS_INTERVAL: Millis = Millis(100);
 
 /// Polls the schedulers for waiting requests, and updates which servers this host schedules.
-pub(crate) async fn tend(router: Rc<Router>) {
+pub(crate) async fn run_schedulers(router: Rc<Router>) {
     let mut logged = router.now();
     let mut evaluated = (Millis::ZERO, 0);
     loop {
@@ -53,9 +53,9 @@
     let changed = current != previous;
     for service in router.services() {
         for target in service.targets.borrow().values() {
-            if changed || target.ours.get().is_none() {
+            if changed || target.scheduled_here.get().is_none() {
                 let ours = router.target_scheduler(&service, target) == SchedulerHost::Here;
-                target.ours.set(Some(ours));
+                target.scheduled_here.set(Some(ours));
             }
         }
     }
@@ -69,11 +69,13 @@
     // The leader uses the rates only to plan the assignment of keys.
     let keyed = router.services().into_iter().filter(|s| s.is_keyed());
     for service in keyed {
-        let Some(scheduler) = schedulers.get(&PartName::whole(&service.name)) else {
+        let Some(scheduler) = schedulers.get(&PartName::unpartitioned(&service.name)) else {
             continue;
         };
         let targets = service.targets.borrow();
-        let scheduled = targets.values().filter(|t| t.ours.get() == Some(true));
+        let scheduled = targets
+            .values()
+            .filter(|t| t.scheduled_here.get() == Some(true));
         rates.extend(scheduled.map(|t| ServerPace {
             server: t.life.clone(),
             speed: scheduler.slowness(t.id) as f32,
--- a/crates/chicoryrail-router/src/control/scheduling/mod.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/mod.rs
@@ -9,8 +9,8 @@
 mod requests;
 mod tokens;
 
+pub(crate) use maintenance::run_schedulers;
 pub(crate) use maintenance::service_rates;
-pub(crate) use maintenance::tend;
 pub(crate) use overflow::free_slots;
 pub(crate) use requests::handle_packet;
 pub(crate) use requests::redirect_moved_keys;
--- a/crates/chicoryrail-router/src/control/scheduling/overflow.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/overflow.rs
@@ -9,11 +9,11 @@
 use crate::control::scheduling::part_schedulers::remove_query;
 use crate::control::scheduling::part_schedulers::reply_to;
 use crate::control::scheduling::part_schedulers::sync_servers;
+use crate::messages::PartName;
+use crate::messages::PartRoom;
+use crate::messages::SlotQuery;
+use crate::messages::SlotReply;
 use crate::state::Router;
-use crate::talk::PartName;
-use crate::talk::PartRoom;
-use crate::talk::SlotQuery;
-use crate::talk::SlotReply;
 
 /// Returns `true` if a part has a free slot beyond those for waiting requests. The scheduler's servers must be up to
 /// date.
@@ -33,7 +33,7 @@
     query: &SlotQuery,
     from: Option<SocketAddr>,
 ) -> bool {
-    let Some(dc) = router.schedulers.take_room(router.now(), &query.part) else {
+    let Some(dc) = router.schedulers.take_free_slot(router.now(), &query.part) else {
         return false;
     };
     remove_query(router, &query.part, query.ticket);
--- a/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
@@ -7,12 +7,12 @@
 use chicoryrail_policy::Scheduler;
 use chicoryrail_policy::ServerStatus;
 
-use crate::state::Origin;
+use crate::messages::Packet;
+use crate::messages::PartName;
+use crate::messages::SlotReply;
+use crate::state::QueryOrigin;
 use crate::state::Router;
 use crate::state::Service;
-use crate::talk::Packet;
-use crate::talk::PartName;
-use crate::talk::SlotReply;
 
 /// Removes a request from its scheduler and returns its token: the caller has cancelled it, or it goes elsewhere.
 pub(super) fn remove_query(router: &Router, part: &PartName, ticket: u64) {
@@ -23,10 +23,10 @@
 }
 
 /// Removes the origin of a request that this host does not assign to a server, and returns its token to the quota.
-pub(super) fn remove_origin(router: &Router, ticket: u64) -> Option<Origin> {
+pub(super) fn remove_origin(router: &Router, ticket: u64) -> Option<QueryOrigin> {
     let origin = router.schedulers.origins.borrow_mut().remove(&ticket)?;
     if let Some(organisation) = &origin.token {
-        router.quota.give_back(organisation);
+        router.quota.return_token(organisation);
     }
     Some(origin)
 }
@@ -53,20 +53,20 @@
     let targets = service.targets.borrow();
     let any_ready = targets.values().any(|t| t.is_ready());
     let mut count = 0;
-    for target in targets.values().filter(|t| part.has(&t.dc)) {
+    for target in targets.values().filter(|t| part.contains(&t.dc)) {
         count += 1;
         let state = ServerStatus {
             slots: target.slots.get(),
             accepting: if any_ready && !service.is_keyed() {
                 target.is_ready()
             } else {
-                target.may_get(now)
+                target.accepts_requests(now)
             },
             warmup_until: target.warmup_until.get(),
             warmup_rate_max: warmup_bound,
             rate_limit: target.limit.get().rate(now),
             dc_index: router.schedulers.dc_number(&target.dc),
-            scheduled_here: target.ours.get().unwrap_or(false),
+            scheduled_here: target.scheduled_here.get().unwrap_or(false),
         };
         scheduler.update_server(now, target.id, state);
     }
@@ -79,9 +79,11 @@
 /// Sends a reply to the host that sent the query; `None` stands for this host.
 pub(super) fn reply_to(router: &Rc<Router>, to: Option<SocketAddr>, ticket: u64, reply: SlotReply) {
     match to {
-        Some(addr) => router.talk.post(Packet::SlotReply { ticket, reply }, addr),
+        Some(addr) => router
+            .peer_socket
+            .send_detached(Packet::SlotReply { ticket, reply }, addr),
         None => {
-            router.asks.replied(ticket, reply);
+            router.pending_queries.deliver(ticket, reply);
         }
     }
 }
--- a/crates/chicoryrail-router/src/control/scheduling/requests.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/requests.rs
@@ -21,15 +21,15 @@
 use crate::control::scheduling::part_schedulers::remove_query;
 use crate::control::scheduling::part_schedulers::reply_to;
 use crate::control::scheduling::tokens::take_token;
-use crate::state::Origin;
+use crate::messages::Packet;
+use crate::messages::PartName;
+use crate::messages::SlotEnd;
+use crate::messages::SlotEndKind;
+use crate::messages::SlotQuery;
+use crate::messages::SlotReply;
+use crate::state::QueryOrigin;
 use crate::state::Router;
 use crate::state::Service;
-use crate::talk::Packet;
-use crate::talk::PartName;
-use crate::talk::SlotEnd;
-use crate::talk::SlotEndKind;
-use crate::talk::SlotQuery;
-use crate::talk::SlotReply;
 
 /// Handles a packet for the host that schedules; `from` is `None` if this host sent it itself.
 ///
@@ -42,7 +42,7 @@
         Packet::Leave { part, ticket } => remove_query(router, part, *ticket),
         Packet::Rooms(parts) => {
             for part in parts {
-                router.schedulers.heard_room(router.now(), part);
+                router.schedulers.record_free_slots(router.now(), part);
             }
         }
         Packet::Heartbeat(_)
@@ -74,7 +74,7 @@
         large_response: query.large,
     };
     if let Some(key) = query.key.filter(|_| !is_pending(router, query.ticket)) {
-        service.note_key(key);
+        service.record_key(key);
     }
     let assigned = {
         let mut schedulers = router.schedulers.by_part.borrow_mut();
@@ -84,7 +84,7 @@
     let Ok(token) = take_token(router, query, from, assigned.is_some()) else {
         return;
     };
-    let origin = Origin {
+    let origin = QueryOrigin {
         from,
         id: query.id.clone(),
         token,
@@ -152,7 +152,7 @@
     };
     let now = router.now();
     if let Some(rate) = end.rate {
-        target.hear_limit(now, rate.into());
+        target.record_rate_limit(now, rate.into());
     }
     if let Some(scheduler) = router.schedulers.by_part.borrow_mut().get_mut(&end.part) {
         scheduler.release(now, &release);
@@ -164,7 +164,7 @@
 ///
 /// If this host assigned them to that server, they would exceed the slots that the other host accounts for.
 pub(crate) fn redirect_moved_keys(router: &Rc<Router>, service: &Service) {
-    let part = PartName::whole(&service.name);
+    let part = PartName::unpartitioned(&service.name);
     let elsewhere: Vec<u64> = {
         let schedulers = router.schedulers.by_part.borrow();
         let Some(scheduler) = schedulers.get(&part) else {
--- a/crates/chicoryrail-router/src/control/scheduling/tokens.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/tokens.rs
@@ -8,10 +8,10 @@
 
 use crate::control::scheduling::part_schedulers::remove_query;
 use crate::control::scheduling::part_schedulers::reply_to;
+use crate::messages::SlotQuery;
+use crate::messages::SlotReply;
 use crate::state::Router;
 use crate::state::TokenAnswer;
-use crate::talk::SlotQuery;
-use crate::talk::SlotReply;
 
 /// No token was available for a request.
 pub(super) struct NoToken;
--- a/crates/chicoryrail-router/src/lib.rs
+++ b/crates/chicoryrail-router/src/lib.rs
@@ -18,11 +18,11 @@
 
 mod control;
 mod log_line;
+mod messages;
 mod options;
 mod route;
 mod run;
 mod state;
-mod talk;
 
 pub use options::Options;
 pub use options::options;
--- a/crates/chicoryrail-router/src/talk/compression.rs
+++ b/crates/chicoryrail-router/src/messages/compression.rs
@@ -8,7 +8,7 @@
 use snafu::Snafu;
 use snafu::ensure;
 
-use crate::talk::codec::MESSAGE_MEMORY_MAX;
+use crate::messages::codec::MESSAGE_MEMORY_MAX;
 
 /// Name of the compression in HTTP headers.
 pub(crate) const ENCODING: &str = "lz4";
--- a/crates/chicoryrail-router/src/talk/packet.rs
+++ b/crates/chicoryrail-router/src/messages/packet.rs
@@ -14,10 +14,10 @@
 use chicoryrail_ownership::keys::OwnedRange;
 use chicoryrail_policy::AdvertisedRate;
 
-use crate::talk::PartName;
-use crate::talk::PartRoom;
-use crate::talk::QuotaGrants;
-use crate::talk::QuotaReports;
+use crate::messages::PartName;
+use crate::messages::PartRoom;
+use crate::messages::QuotaGrants;
+use crate::messages::QuotaReports;
 
 /// A datagram between hosts.
 #[derive(Clone, Debug, Encode, Decode)]
--- a/crates/chicoryrail-router/src/talk/part.rs
+++ b/crates/chicoryrail-router/src/messages/part.rs
@@ -16,7 +16,7 @@
 
 impl PartName {
     /// Returns the name of the part that has all servers of a service.
-    pub(crate) fn whole(service: &ServiceName) -> Self {
+    pub(crate) fn unpartitioned(service: &ServiceName) -> Self {
         Self {
             service: service.clone(),
             dc: None,
@@ -24,7 +24,7 @@
     }
 
     /// Returns whether the servers of a data centre belong to the part.
-    pub(crate) fn has(&self, dc: &DcName) -> bool {
+    pub(crate) fn contains(&self, dc: &DcName) -> bool {
         self.dc.as_ref().is_none_or(|own| own == dc)
     }
 }
--- a/crates/chicoryrail-router/src/talk/relay_message.rs
+++ b/crates/chicoryrail-router/src/messages/relay_message.rs
@@ -9,7 +9,7 @@
 use chicoryrail_core::ServiceName;
 use chicoryrail_platform::FeedNews;
 
-use crate::talk::KeyRanges;
+use crate::messages::KeyRanges;
 
 /// Number of feeds of the store that are relayed.
 pub(crate) const FEED_COUNT: usize = 3;
--- a/crates/chicoryrail-router/src/talk/socket.rs
+++ b/crates/chicoryrail-router/src/messages/socket.rs
@@ -7,9 +7,9 @@
 use chicoryrail_core::Millis;
 use monoio::net::udp::UdpSocket;
 
-use crate::talk::Packet;
-use crate::talk::decode;
-use crate::talk::encode;
+use crate::messages::Packet;
+use crate::messages::decode;
+use crate::messages::encode;
 
 /// Size of the receive buffer: the maximum size of a datagram. Messages fit one network packet, except long lists of
 /// key ranges. A truncated list can't be decoded, and its receiver would continue with outdated ranges.
@@ -62,7 +62,7 @@
     }
 
     /// Spawns a task that sends a datagram.
-    pub(crate) fn post(self: &Rc<Self>, packet: Packet, addr: SocketAddr) {
+    pub(crate) fn send_detached(self: &Rc<Self>, packet: Packet, addr: SocketAddr) {
         let socket = Rc::clone(self);
         monoio::spawn(async move { socket.send(&packet, addr).await });
     }
--- a/crates/chicoryrail-router/src/route/admission.rs
+++ b/crates/chicoryrail-router/src/route/admission.rs
@@ -31,14 +31,14 @@
         return Ok(None);
     }
     // A host whose keys may be out of date neither accepts a key nor refuses one as unknown.
-    if !router.knows_revocations(now) {
+    if !router.is_config_fresh(now) {
         return Err(Cause::StaleConfig);
     }
     let mut keys = headers.get_all(call_header::API_KEY).iter();
     let (Some(key), None) = (keys.next(), keys.next()) else {
         return Err(Cause::NoApiKey);
     };
-    let organisation = router.organisations.holder(key.as_bytes());
+    let organisation = router.organisations.organisation_of(key.as_bytes());
     organisation.map(Some).ok_or(Cause::UnknownApiKey)
 }
 
--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -137,9 +137,9 @@
     async fn acquire_without_scheduler(&self) -> Result<(Rc<Target>, SlotGuard), Refusal> {
         let target = self.wait_for_target().await?;
         if let Some((name, limit)) = self.call.needed_quota() {
-            let (now, hosts) = (self.router.now(), self.router.lone_hosts());
+            let (now, hosts) = (self.router.now(), self.router.standalone_hosts());
             let organisations = &self.router.organisations;
-            if let Err(after) = organisations.take_lone(now, name, limit, hosts) {
+            if let Err(after) = organisations.take_standalone(now, name, limit, hosts) {
                 log::info!(request = self.call.id, organisation:% = name, rate = limit.rate,
                     hosts = hosts, token_in_ms = after.0; "quota_refused_alone");
                 self.router.counters.over_quota(name);
@@ -196,7 +196,9 @@
         if !has_alternative || self.router.process.stop.is_cancelled() {
             return left;
         }
-        let work = self.router.work(&self.call.route.name, self.call.route.aim);
+        let work = self
+            .router
+            .expected_work_us(&self.call.route.name, self.call.route.aim);
         let silence_max = Millis((work * SILENT_WORK_FACTOR / 1_000.0) as u64);
         silence_max.max(self.call.route.aim.times(2)).min(left)
     }
@@ -228,7 +230,9 @@
             NotRun::Refused => Cause::Full,
             NotRun::Misdirected => Cause::KeyMoving,
         };
-        let work = self.router.work(&self.call.route.name, self.call.route.aim);
+        let work = self
+            .router
+            .expected_work_us(&self.call.route.name, self.call.route.aim);
         self.refuse(cause, Millis((work / 1_000.0) as u64))
     }
 
--- a/crates/chicoryrail-router/src/route/call.rs
+++ b/crates/chicoryrail-router/src/route/call.rs
@@ -158,7 +158,7 @@
 fn pick_service(router: &Router, site: &Site, route: &Route) -> ServiceSpec {
     let index = if route.parts.len() > 1 {
         let weights: Vec<u32> = route.parts.iter().map(|p| p.weight).collect();
-        router.turn(&route.name, &weights)
+        router.next_weighted(&route.name, &weights)
     } else {
         0
     };
--- a/crates/chicoryrail-router/src/route/caller.rs
+++ b/crates/chicoryrail-router/src/route/caller.rs
@@ -58,12 +58,12 @@
 /// refused caller would retry.
 async fn await_config(router: &Router) {
     while router.site().is_none() {
-        let seen = router.news.count();
+        let seen = router.feed_changed.count();
         let time_left = FIRST_CONFIG_WAIT_MAX.since(router.now());
         if time_left == Millis::ZERO {
             return;
         }
-        let _ = timeout(time_left.duration(), router.news.after(seen)).await;
+        let _ = timeout(time_left.duration(), router.feed_changed.after(seen)).await;
     }
 }
 
@@ -167,12 +167,12 @@
     let counters = &router.counters;
     let labels = [service, call.route.kind.name(), outcome];
     counters
-        .took
+        .request_time
         .with_label_values(&labels)
         .observe(seconds(took));
     let waited = seconds(call.stats.borrow().waited);
     counters
-        .waited
+        .wait_time
         .with_label_values(&[service])
         .observe(waited);
     router
--- a/crates/chicoryrail-router/src/route/choose.rs
+++ b/crates/chicoryrail-router/src/route/choose.rs
@@ -59,11 +59,11 @@
         KeyOwner::Moving => return Choice::Wait(Cause::KeyMoving, KEY_MOVE_RETRY),
         KeyOwner::Unassigned => return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY),
     };
-    let target = service.target(&life).filter(|t| t.may_get(now));
+    let target = service.target(&life).filter(|t| t.accepts_requests(now));
     let Some(target) = target else {
         return Choice::Wait(Cause::KeyMoving, KEY_MOVE_RETRY);
     };
-    let work = router.work(&call.route.name, call.route.aim);
+    let work = router.expected_work_us(&call.route.name, call.route.aim);
     let loads = service.loads.borrow();
     if loads.has_capacity(now, target.id) && take_rate_permit(router, call, &target, now) {
         return Choice::Send(target);
@@ -78,11 +78,11 @@
     tried: &[Life],
     now: Millis,
 ) -> Choice {
-    let accepting = service.open_targets(now);
+    let accepting = service.accepting_targets(now);
     if accepting.is_empty() {
         return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY);
     }
-    let work = router.work(&call.route.name, call.route.aim);
+    let work = router.expected_work_us(&call.route.name, call.route.aim);
     let mut untried: Vec<_> = accepting
         .iter()
         .filter(|t| !tried.contains(&t.life))
@@ -113,13 +113,13 @@
     if target.limit.get().rate(now).is_some() {
         return false;
     }
-    if !target.is_cold(now) {
+    if !target.is_warming_up(now) {
         return true;
     }
     // The scheduler distributes half of the warm-up rate. A host that receives the leader's messages, but got no reply
     // from the scheduler in time, sends such a server nothing: all such hosts together would exceed the rate, as
     // the scheduler still uses its half.
-    if router.is_unsure_of_hosts(now)
+    if router.is_discovering_hosts(now)
         || router
             .peers
             .borrow()
@@ -129,5 +129,5 @@
     }
     let rate_max = router.warmup_rate_max(call.service_name()) * LOCAL_WARMUP_FRACTION;
     let hosts = router.peers.borrow().sharing_hosts();
-    target.cold.borrow_mut().try_take(now, rate_max, hosts)
+    target.warmup.borrow_mut().try_take(now, rate_max, hosts)
 }
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -137,10 +137,10 @@
     let mut loads = service.loads.borrow_mut();
     match sent.failure() {
         None => {
-            let work = router.work(&call.route.name, call.route.aim);
+            let work = router.expected_work_us(&call.route.name, call.route.aim);
             if matches!(sent, SendOutcome::Answered(_)) {
                 loads.record_answer(now, target.id, elapsed_us, work, idle);
-                router.worked(&call.route.name, call.route.aim, elapsed_us);
+                router.record_work(&call.route.name, call.route.aim, elapsed_us);
             }
         }
         Some(failure) => loads.record_failure(now, target.id, failure),
@@ -256,7 +256,7 @@
     let warmup_left =
         call_header::text(headers, &call_header::COLD_LEFT).and_then(|t| t.parse().ok());
     if let Some(left) = warmup_left {
-        target.cold_for(now, Millis(left));
+        target.extend_warmup(now, Millis(left));
     }
 }
 
@@ -270,7 +270,7 @@
     }
     match AdvertisedRate::parse(value) {
         Ok(notice) => {
-            target.hear_limit(router.now(), notice);
+            target.record_rate_limit(router.now(), notice);
             in_flight.slot.record_rate(notice);
         }
         Err(value) => {
@@ -285,7 +285,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     let mut headers = call.headers.clone();
-    headers.insert(call_header::EXPECTED_SERVER, target.header.clone());
+    headers.insert(call_header::EXPECTED_SERVER, target.expect_header.clone());
     let time_left = HeaderValue::from(call.time_left(now).0.max(1));
     headers.insert(call_header::TIME_LEFT, time_left);
     *request.headers_mut() = headers;
--- a/crates/chicoryrail-router/src/route/slot_guard.rs
+++ b/crates/chicoryrail-router/src/route/slot_guard.rs
@@ -11,20 +11,20 @@
 use chicoryrail_policy::LoadReport;
 
 use crate::control::scheduling;
+use crate::messages::Packet;
+use crate::messages::PartName;
+use crate::messages::SaidRate;
+use crate::messages::SlotEnd;
+use crate::messages::SlotEndKind;
 use crate::state::Router;
 use crate::state::Service;
 use crate::state::Target;
-use crate::talk::Packet;
-use crate::talk::PartName;
-use crate::talk::SaidRate;
-use crate::talk::SlotEnd;
-use crate::talk::SlotEndKind;
 
 /// Sends a packet to the scheduler, or handles it directly if this host is the scheduler.
 pub(super) fn send_to_scheduler(router: &Rc<Router>, scheduler: SchedulerHost, packet: Packet) {
     match scheduler {
         SchedulerHost::Here => scheduling::handle_packet(router, &packet, None),
-        SchedulerHost::At(addr) => router.talk.post(packet, addr),
+        SchedulerHost::At(addr) => router.peer_socket.send_detached(packet, addr),
     }
 }
 
@@ -70,7 +70,7 @@
         service: &Service,
         target: &Target,
     ) -> Self {
-        let part = service.part_in(&target.dc);
+        let part = service.part_of(&target.dc);
         let scheduler = router.target_scheduler(service, target);
         Self::new(router, &part, scheduler, 0, &target.life)
     }
--- a/crates/chicoryrail-router/src/route/slot_query.rs
+++ b/crates/chicoryrail-router/src/route/slot_query.rs
@@ -12,16 +12,16 @@
 use monoio::time::timeout;
 use rand::seq::IteratorRandom;
 
+use crate::messages::Packet;
+use crate::messages::PartName;
+use crate::messages::SlotQuery;
+use crate::messages::SlotReply;
 use crate::route::call::Call;
 use crate::route::slot_guard::SlotGuard;
 use crate::route::slot_guard::send_to_scheduler;
 use crate::state::Router;
 use crate::state::Service;
 use crate::state::Target;
-use crate::talk::Packet;
-use crate::talk::PartName;
-use crate::talk::SlotQuery;
-use crate::talk::SlotReply;
 
 /// Time after which a slot query without any reply is sent again, and time after which its scheduler counts as
 /// unreachable. For a queued query, their difference is added to [`QUEUED_POLL_INTERVAL`].
@@ -56,7 +56,7 @@
 ) -> Decision {
     let part = initial_part(router, service);
     let scheduler = scheduler_for(router, service, &part, call);
-    let (ticket, pending_reply) = router.asks.open(router.process.instance);
+    let (ticket, pending_reply) = router.pending_queries.open(router.process.instance);
     let mut query = PendingQuery {
         router,
         part,
@@ -76,7 +76,9 @@
                 query.pending = false;
                 call.has_quota_token.set(true);
                 let slot = SlotGuard::new(router, &query.part, query.scheduler, ticket, &life);
-                let target = service.target(&life).filter(|t| t.may_get(router.now()));
+                let target = service
+                    .target(&life)
+                    .filter(|t| t.accepts_requests(router.now()));
                 return match target {
                     Some(target) => Decision::Send(target, slot),
                     // The scheduler's view of this server is older than this host's.
@@ -158,7 +160,9 @@
     /// Sends the query to the current scheduler.
     fn send(&self, call: &Call, tried: &[Life]) {
         let now = self.router.now();
-        let work = self.router.work(&call.route.name, call.route.aim);
+        let work = self
+            .router
+            .expected_work_us(&call.route.name, call.route.aim);
         let slot_query = SlotQuery {
             dc: self.router.boot().dc.clone(),
             part: self.part.clone(),
@@ -184,12 +188,12 @@
     let targets = service.targets.borrow();
     let dc = router.boot().dc.clone();
     let has_local = targets.values().any(|t| t.dc == dc && t.is_ready());
-    if has_local || !service.divided.get() {
-        return service.part_in(&dc);
+    if has_local || !service.partitioned.get() {
+        return service.part_of(&dc);
     }
     let ready = targets.values().filter(|t| t.is_ready());
     let chosen_dc = ready.choose(&mut rand::rng()).map_or(dc, |t| t.dc.clone());
-    service.part_in(&chosen_dc)
+    service.part_of(&chosen_dc)
 }
 
 /// Returns the host that schedules the owner of the request's key, or, without a key, the given part.
@@ -209,7 +213,7 @@
 
 impl Drop for PendingQuery<'_> {
     fn drop(&mut self) {
-        self.router.asks.close(self.ticket);
+        self.router.pending_queries.close(self.ticket);
         if !self.pending {
             return;
         }
--- a/crates/chicoryrail-router/src/run.rs
+++ b/crates/chicoryrail-router/src/run.rs
@@ -26,20 +26,20 @@
 use crate::control::Gossip;
 use crate::control::LeaderTerm;
 use crate::control::QuotaPools;
-use crate::control::be_present;
-use crate::control::choose_source;
-use crate::control::elect;
-use crate::control::follow_all;
+use crate::control::follow_feeds;
 use crate::control::follow_relay;
-use crate::control::prove_config;
-use crate::control::relay;
-use crate::control::report_use;
+use crate::control::register_core_host;
+use crate::control::report_quota_use;
+use crate::control::run_election;
 use crate::control::scheduling;
+use crate::control::select_source;
+use crate::control::serve_relay;
+use crate::control::verify_config;
 use crate::log_line;
+use crate::messages::PeerSocket;
 use crate::options::options;
 use crate::route;
 use crate::state::Router;
-use crate::talk::PeerSocket;
 
 /// Interval of the periodic maintenance.
 const MAINTENANCE_INTERVAL: Millis = Millis(100);
@@ -120,13 +120,13 @@
     let readiness = boot
         .readiness
         .ok_or(RunError::NoAddress { what: "readiness" })?;
-    let talk_addr = SocketAddr::new(boot.ip, *boot.ports.start());
+    let peer_addr = SocketAddr::new(boot.ip, *boot.ports.start());
     let metrics = options
         .metrics_port
         .map(|port| SocketAddr::new(boot.ip, port));
     log::info!(dc:% = boot.dc, callers:% = callers,
         store:% = boot.store.addr, pid = std::process::id(); "start");
-    let talk = PeerSocket::bind(talk_addr).context(SocketSnafu { addr: talk_addr })?;
+    let talk = PeerSocket::bind(peer_addr).context(SocketSnafu { addr: peer_addr })?;
     let router = Router::new(boot, options, &talk);
     let stop = router.process.stop.clone();
     if let Err(e) = stop_on_signal(stop.clone()) {
@@ -149,18 +149,18 @@
     let gossip = Gossip::new(&router, &leadership, &pools);
     let listening = Rc::clone(&gossip);
     monoio::spawn(talk.listen(move |packet, from| listening.handle_packet(packet, from)));
-    monoio::spawn(scheduling::tend(Rc::clone(&router)));
-    serve_relay(&router, talk_addr, &internal_stop)?;
-    follow_all(&router);
-    monoio::spawn(choose_source(Rc::clone(&router)));
+    monoio::spawn(scheduling::run_schedulers(Rc::clone(&router)));
+    start_relay_listener(&router, peer_addr, &internal_stop)?;
+    follow_feeds(&router);
+    monoio::spawn(select_source(Rc::clone(&router)));
     monoio::spawn(follow_relay(Rc::clone(&router)));
-    monoio::spawn(be_present(Rc::clone(&router), talk_addr));
+    monoio::spawn(register_core_host(Rc::clone(&router), peer_addr));
     monoio::spawn(Rc::clone(&gossip).report_key_demand());
     monoio::spawn(Rc::clone(&gossip).send_free_slots());
     monoio::spawn(gossip.send_heartbeats());
-    monoio::spawn(prove_config(Rc::clone(&router)));
-    monoio::spawn(report_use(Rc::clone(&router), pools));
-    let elected = monoio::spawn(elect(Rc::clone(&router), leadership));
+    monoio::spawn(verify_config(Rc::clone(&router)));
+    monoio::spawn(report_quota_use(Rc::clone(&router), pools));
+    let elected = monoio::spawn(run_election(Rc::clone(&router), leadership));
     let listener = bind("callers", callers).context(ListenSnafu)?;
     let callers_stop = CancellationToken::new();
     let (serving, early_router) = (Rc::clone(&router), Rc::clone(&router));
@@ -238,14 +238,14 @@
 }
 
 /// Starts the HTTP listener for hosts that use this one as relay.
-fn serve_relay(
+fn start_relay_listener(
     router: &Rc<Router>,
     addr: SocketAddr,
     stop: &CancellationToken,
 ) -> Result<(), RunError> {
     let listener = bind("relay", addr).context(ListenSnafu)?;
     let router = Rc::clone(router);
-    let answer = move |request, _| relay(Rc::clone(&router), request);
+    let answer = move |request, _| serve_relay(Rc::clone(&router), request);
     let limits = HttpLimits::default();
     monoio::spawn(serve_http(listener, limits, stop.clone(), answer));
     Ok(())
@@ -263,7 +263,7 @@
             log::warn!(late_ms = late.0; "paused");
         }
         last = now;
-        router.believe(&[]);
+        router.apply_changes(&[]);
         update_config_age(&router);
         let ready = can_serve(&router);
         if ready != router.process.is_ready() && !router.process.stop.is_cancelled() {
@@ -290,11 +290,11 @@
     // If all hosts have lost the store, another host would refuse requests with API keys too: the host stays ready.
     let needs_keys = router.site().is_some_and(|s| s.organisations().is_some());
     let refuses_callers =
-        needs_keys && !router.knows_revocations(now) && !router.has_peer_contact(now);
+        needs_keys && !router.is_config_fresh(now) && !router.has_peer_contact(now);
     known
         && !refuses_callers
         && router
             .services()
             .iter()
-            .any(|s| !s.open_targets(now).is_empty())
+            .any(|s| !s.accepting_targets(now).is_empty())
 }
--- a/crates/chicoryrail-router/src/state/believe.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -28,7 +28,7 @@
 impl Router {
     /// Logs the given changes of the store view, drops the servers whose entries have expired, and updates services,
     /// servers and key records.
-    pub(crate) fn believe(&self, changes: &[ViewChange]) {
+    pub(crate) fn apply_changes(&self, changes: &[ViewChange]) {
         for change in changes {
             self.log(change);
             if let ViewChange::Own(key) = change {
@@ -55,7 +55,7 @@
         match serde_json::from_slice::<KeyRecord>(&item.value) {
             Ok(record) => {
                 let service = self.service(&ServiceName::new(service));
-                self.key_record(&service, record);
+                self.apply_key_record(&service, record);
             }
             Err(e) => log::error!(key = key, error:% = e; "bad_record"),
         }
@@ -65,7 +65,7 @@
     fn update_hosts(&self) {
         let own = self.boot().host.clone();
         let view = self.view.borrow();
-        let hosts = view.own_below(HOSTS).filter_map(|(key, item)| {
+        let hosts = view.own_with_prefix(HOSTS).filter_map(|(key, item)| {
             let name = HostName::new(key.strip_prefix(HOSTS)?);
             let host = CoreHost::from_value(&item.value)?;
             (name != own).then_some((name, host.addr))
@@ -75,12 +75,12 @@
     }
 
     /// Applies a key record from the store or the leader.
-    pub(crate) fn key_record(&self, service: &Service, record: KeyRecord) {
+    pub(crate) fn apply_key_record(&self, service: &Service, record: KeyRecord) {
         let (fence, spans) = (record.fence, record.spans.len());
         if service.keys.borrow_mut().apply_record(self.now(), record) {
             log::info!(service:% = service.name, fence = fence, spans = spans; "key_record");
             service.changed.notify();
-            self.news.notify();
+            self.feed_changed.notify();
         }
     }
 
@@ -119,9 +119,9 @@
                 keep
             });
             drop(targets);
-            service.update_divided();
+            service.update_partitioned();
             service.changed.notify();
-            self.news.notify();
+            self.feed_changed.notify();
         }
     }
 
@@ -141,22 +141,22 @@
                     id: service.next_id(),
                     addr: member.addr,
                     dc: member.dc.clone(),
-                    known: self.now(),
-                    header,
+                    first_seen: self.now(),
+                    expect_header: header,
                     pool: ServerPool::default(),
-                    cold: RefCell::default(),
+                    warmup: RefCell::default(),
                     warmup_until: Cell::default(),
                     limit: Cell::default(),
                     slots: Cell::new(member.slots),
                     admission: Cell::new(Admission::Closed),
-                    ours: Cell::new(None),
+                    scheduled_here: Cell::new(None),
                 });
                 targets.insert(member.life.clone(), Rc::clone(&target));
                 target
             }
         };
         // A server can start to warm up again at any time without a restart.
-        target.cold_for(entry.updated, member.cold);
+        target.extend_warmup(entry.updated, member.cold);
         target.slots.set(member.slots);
         service.loads.borrow_mut().set(target.id, member.slots);
         let spec = view.site().and_then(|s| s.service(&service.name));
--- a/crates/chicoryrail-router/src/state/counters.rs
+++ b/crates/chicoryrail-router/src/state/counters.rs
@@ -25,7 +25,7 @@
     /// Attempts at servers by service and result.
     pub(crate) sends: IntCounterVec,
     /// Calls to the store by kind and result.
-    pub(crate) store: IntCounterVec,
+    pub(crate) store_calls: IntCounterVec,
     /// Calls that grant or release keys by kind and result.
     pub(crate) key_calls: IntCounterVec,
     /// Store entries that could not be decoded.
@@ -33,13 +33,13 @@
     /// Unknown values in configurations that came into force.
     pub(crate) unknown_words: IntCounter,
     /// Time from a request's arrival to its response, by service, kind and outcome.
-    pub(crate) took: HistogramVec,
+    pub(crate) request_time: HistogramVec,
     /// Time that requests waited for a server, by service.
-    pub(crate) waited: HistogramVec,
+    pub(crate) wait_time: HistogramVec,
     /// Duration of calls to the store, by kind.
-    pub(crate) store_took: HistogramVec,
+    pub(crate) store_time: HistogramVec,
     /// Duration of calls that grant or release keys, by kind.
-    pub(crate) key_took: HistogramVec,
+    pub(crate) key_time: HistogramVec,
     /// Requests in progress.
     pub(crate) serving: IntGauge,
     /// Version of the configuration in force.
@@ -73,7 +73,7 @@
                 "Attempts at servers, by service and result",
                 &["service", "end"],
             ),
-            store: metrics.counters(
+            store_calls: metrics.counters(
                 "store_calls_total",
                 "Calls to the store, by kind and result",
                 &["call", "result"],
@@ -91,22 +91,22 @@
                 "config_unknown_words_total",
                 "Unknown values in configurations in force, each counted once per version",
             ),
-            took: metrics.seconds_by(
+            request_time: metrics.seconds_by(
                 "request_seconds",
                 "Time from arrival to response, by service, kind (read, download, order), outcome",
                 &["service", "kind", "outcome"],
             ),
-            waited: metrics.seconds_by(
+            wait_time: metrics.seconds_by(
                 "wait_seconds",
                 "Time that requests waited for a server, by service",
                 &["service"],
             ),
-            store_took: metrics.seconds_by(
+            store_time: metrics.seconds_by(
                 "store_seconds",
                 "Duration of calls to the store, by kind",
                 &["call"],
             ),
-            key_took: metrics.seconds_by(
+            key_time: metrics.seconds_by(
                 "key_seconds",
                 "Duration of calls that grant or release keys, by kind",
                 &["call"],
--- a/crates/chicoryrail-router/src/state/mod.rs
+++ b/crates/chicoryrail-router/src/state/mod.rs
@@ -1,9 +1,9 @@
 //! The state that the tasks of this host share: its view of the store, services, servers and metrics.
 
-mod asks;
-mod believe;
+mod apply;
 mod counters;
 mod organisations;
+mod pending_queries;
 mod quota_shares;
 pub(crate) mod router;
 mod schedulers;
@@ -12,13 +12,13 @@
 mod target;
 mod view;
 
-pub(crate) use asks::Asks;
 pub(crate) use counters::Counters;
 pub(crate) use organisations::Organisations;
+pub(crate) use pending_queries::PendingQueries;
 pub(crate) use quota_shares::QuotaShares;
 pub(crate) use quota_shares::TokenAnswer;
 pub(crate) use router::Router;
-pub(crate) use schedulers::Origin;
+pub(crate) use schedulers::QueryOrigin;
 pub(crate) use schedulers::Schedulers;
 pub(crate) use service::Service;
 pub(crate) use source::Source;
--- a/crates/chicoryrail-router/src/state/organisations.rs
+++ b/crates/chicoryrail-router/src/state/organisations.rs
@@ -51,12 +51,12 @@
     }
 
     /// Returns the organisation to which an API key belongs.
-    pub(crate) fn holder(&self, key: &[u8]) -> Option<Arc<Organisation>> {
+    pub(crate) fn organisation_of(&self, key: &[u8]) -> Option<Arc<Organisation>> {
         self.index.borrow().find(key).cloned()
     }
 
     /// Records that the configuration was verified to be current at `at`.
-    pub(crate) fn prove_current(&self, at: Millis) {
+    pub(crate) fn mark_current(&self, at: Millis) {
         let mut freshness = self.freshness.get();
         freshness.mark_current(at);
         self.freshness.set(freshness);
@@ -73,7 +73,7 @@
     /// # Errors
     ///
     /// Returns the time after which a token is available.
-    pub(crate) fn take_lone(
+    pub(crate) fn take_standalone(
         &self,
         now: Millis,
         name: &OrganisationName,
--- a/crates/chicoryrail-router/src/state/asks.rs
+++ b/crates/chicoryrail-router/src/state/pending_queries.rs
@@ -7,11 +7,11 @@
 
 use chicoryrail_runtime::Signal;
 
-use crate::talk::SlotReply;
+use crate::messages::SlotReply;
 
 /// Slot queries of this host that await the scheduler's decision, by ticket.
 #[derive(Debug, Default)]
-pub(crate) struct Asks {
+pub(crate) struct PendingQueries {
     pending: RefCell<HashMap<u64, Rc<PendingQuery>>>,
     next: Cell<u64>,
 }
@@ -30,7 +30,7 @@
     }
 }
 
-impl Asks {
+impl PendingQueries {
     /// Registers a pending query and returns it with its ticket, which is unique among the requests of all hosts:
     /// `instance` is the random id of this process.
     pub(crate) fn open(&self, instance: u64) -> (u64, Rc<PendingQuery>) {
@@ -48,7 +48,7 @@
     }
 
     /// Delivers a decision of the scheduler. Returns whether a query with this ticket is pending.
-    pub(crate) fn replied(&self, ticket: u64, reply: SlotReply) -> bool {
+    pub(crate) fn deliver(&self, ticket: u64, reply: SlotReply) -> bool {
         let query = self.pending.borrow().get(&ticket).cloned();
         let Some(query) = query else {
             return false;
--- a/crates/chicoryrail-router/src/state/quota_shares.rs
+++ b/crates/chicoryrail-router/src/state/quota_shares.rs
@@ -31,7 +31,7 @@
     /// When the leader last answered a report; `None` if it has not since this process started.
     answered: Cell<Option<Millis>>,
     /// Notified when an organisation runs low on tokens.
-    pub(crate) low: Signal,
+    pub(crate) low_tokens: Signal,
     /// When each waiting request began to wait for a token, by ticket.
     waiting: RefCell<HashMap<u64, Millis>>,
 }
@@ -89,7 +89,7 @@
         ShareParams {
             limit,
             schedulers: router.peers.borrow().core_host_count(),
-            standalone: self.is_lone(router.now()),
+            standalone: self.is_standalone(router.now()),
             tolerance: router.quota_tolerance(),
         }
     }
@@ -113,7 +113,7 @@
         let params = self.params(router, share.limit);
         let taken = share.tokens.try_take(now, &params);
         if share.tokens.is_low(&params) {
-            self.low.notify();
+            self.low_tokens.notify();
         }
         match taken {
             Ok(()) => {
@@ -140,13 +140,13 @@
 
     /// Returns whether this host is standalone: the leader has not answered for [`QUOTA_LEADER_TIMEOUT`], so that this host
     /// spends its own share of each limit without grants.
-    pub(crate) fn is_lone(&self, now: Millis) -> bool {
+    pub(crate) fn is_standalone(&self, now: Millis) -> bool {
         let answered = self.answered.get();
         answered.is_none_or(|at| now.since(at) > QUOTA_LEADER_TIMEOUT)
     }
 
     /// Returns the token of a request that did not run.
-    pub(crate) fn give_back(&self, name: &OrganisationName) {
+    pub(crate) fn return_token(&self, name: &OrganisationName) {
         if let Some(share) = self.shares.borrow_mut().get_mut(name) {
             share.tokens.refund();
         }
@@ -166,7 +166,7 @@
     }
 
     /// Applies the grants that the leader sent.
-    pub(crate) fn granted(&self, now: Millis, grants: &[(OrganisationName, QuotaGrant)]) {
+    pub(crate) fn apply_grants(&self, now: Millis, grants: &[(OrganisationName, QuotaGrant)]) {
         self.answered.set(Some(now));
         let mut shares = self.shares.borrow_mut();
         for (name, grant) in grants {
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -30,18 +30,18 @@
 use chicoryrail_runtime::Signal;
 
 use crate::Options;
-use crate::state::Asks;
+use crate::messages::FEED_COUNT;
+use crate::messages::PartName;
+use crate::messages::PeerSocket;
 use crate::state::Counters;
 use crate::state::Organisations;
+use crate::state::PendingQueries;
 use crate::state::QuotaShares;
 use crate::state::Schedulers;
 use crate::state::Service;
 use crate::state::SourceState;
 use crate::state::Target;
 use crate::state::View;
-use crate::talk::FEED_COUNT;
-use crate::talk::PartName;
-use crate::talk::PeerSocket;
 
 /// Link speed in megabits per second below which a host leads and schedules only if hardly any other host can: its
 /// replies queue behind downloads for longer than the hosts that query it wait.
@@ -82,9 +82,9 @@
     pub(crate) serving: Cell<u32>,
     /// Whether the last call to the store was answered.
     pub(crate) store_up: Cell<bool>,
-    pub(crate) talk: Rc<PeerSocket>,
+    pub(crate) peer_socket: Rc<PeerSocket>,
     /// Slot queries that await the scheduler's decision.
-    pub(crate) asks: Asks,
+    pub(crate) pending_queries: PendingQueries,
     /// The schedulers that run on this host.
     pub(crate) schedulers: Schedulers,
     /// Organisations of the configuration in force, and this host's standalone shares of their rate limits.
@@ -92,19 +92,19 @@
     /// Rate-limit tokens of organisations, for the requests that this host schedules.
     pub(crate) quota: QuotaShares,
     /// Notified when the store answers again after an outage.
-    pub(crate) store_returns: Signal,
+    pub(crate) store_recovered: Signal,
     /// When the store last failed to answer.
     pub(crate) store_lost: Cell<Option<Millis>>,
     /// Term in which this host leads; 0 while it does not.
-    pub(crate) leads: Cell<u64>,
+    pub(crate) leading_term: Cell<u64>,
     /// Where this host reads the content of the store from: the store itself or a relay.
     pub(crate) source: SourceState,
     /// Recent changes of each feed of the store, for the hosts that use this one as relay.
     pub(crate) feed_logs: RefCell<[FeedLog; FEED_COUNT]>,
     /// Notified when there may be updates for the hosts that use this one as relay.
-    pub(crate) news: Signal,
+    pub(crate) feed_changed: Signal,
     /// Time of the last request of each leaf host that uses this one as relay.
-    pub(crate) leaves: RefCell<HashMap<HostName, Millis>>,
+    pub(crate) leaf_requests: RefCell<HashMap<HostName, Millis>>,
     services: RefCell<HashMap<ServiceName, Rc<Service>>>,
     /// Weighted round robin of each route over its services.
     turns: RefCell<HashMap<String, WeightedRoundRobin>>,
@@ -130,18 +130,18 @@
             limits: Rc::new(Cell::new(limits)),
             serving: Cell::new(0),
             store_up: Cell::new(false),
-            talk: Rc::clone(talk),
-            asks: Asks::default(),
+            peer_socket: Rc::clone(talk),
+            pending_queries: PendingQueries::default(),
             schedulers: Schedulers::default(),
             organisations: Organisations::new(),
             quota: QuotaShares::default(),
-            store_returns: Signal::default(),
+            store_recovered: Signal::default(),
             store_lost: Cell::new(None),
-            leads: Cell::new(0),
+            leading_term: Cell::new(0),
             source: SourceState::default(),
             feed_logs: RefCell::default(),
-            news: Signal::default(),
-            leaves: RefCell::default(),
+            feed_changed: Signal::default(),
+            leaf_requests: RefCell::default(),
             services: RefCell::default(),
             turns: RefCell::default(),
             work_means: RefCell::default(),
@@ -192,7 +192,7 @@
 
     /// Returns whether this host leads, or received a heartbeat of the leader within `age`.
     pub(crate) fn leader_seen_within(&self, age: Millis) -> bool {
-        self.leads.get() > 0 || self.peers.borrow().leader_seen_within(self.now(), age)
+        self.leading_term.get() > 0 || self.peers.borrow().leader_seen_within(self.now(), age)
     }
 
     /// Returns the CPU capacity that this host advertises for leading and scheduling, in thousandths of a core; a slow
@@ -212,7 +212,7 @@
     }
 
     /// Returns the address at which this host exchanges messages with other hosts.
-    pub(crate) fn talk_addr(&self) -> SocketAddr {
+    pub(crate) fn peer_addr(&self) -> SocketAddr {
         let boot = self.boot();
         SocketAddr::new(boot.ip, *boot.ports.start())
     }
@@ -226,21 +226,21 @@
             schedules: self.schedules(),
             dc: Some(self.boot().dc.clone()),
             watches: self.source.watches(),
-            leaf_hosts: self.leaves(),
+            leaf_hosts: self.leaf_count(),
         }
     }
 
     /// Returns the number of leaf hosts that use this one as relay.
-    pub(crate) fn leaves(&self) -> u32 {
+    pub(crate) fn leaf_count(&self) -> u32 {
         let now = self.now();
-        let mut leaves = self.leaves.borrow_mut();
+        let mut leaves = self.leaf_requests.borrow_mut();
         leaves.retain(|_, last| now.since(*last) <= LEAF_TIMEOUT);
         leaves.len() as u32
     }
 
     /// Returns the time since the last heartbeat of the leader: zero if this host leads, `None` if none was received.
     pub(crate) fn leader_age(&self) -> Option<Millis> {
-        if self.leads.get() > 0 {
+        if self.leading_term.get() > 0 {
             return Some(Millis::ZERO);
         }
         self.peers.borrow().leader_age(self.now())
@@ -267,7 +267,7 @@
         if service.is_keyed() {
             return self.select_scheduler(Some(&target.dc), &(&service.name, Some(&target.life)));
         }
-        self.part_scheduler(&service.part_in(&target.dc))
+        self.part_scheduler(&service.part_of(&target.dc))
     }
 
     /// Selects a scheduler for `name` by rendezvous hashing, preferring powerful hosts in `dc`.
@@ -285,7 +285,7 @@
 
     /// Returns whether another host is so much more powerful that it should lead, and reaches all data centres that
     /// this one reaches.
-    pub(crate) fn knows_stronger(&self) -> bool {
+    pub(crate) fn has_stronger_peer(&self) -> bool {
         let now = self.now();
         let reaches = self.reach.borrow().reachable_dcs(now);
         let peers = self.peers.borrow();
@@ -314,14 +314,14 @@
     }
 
     /// Returns whether this process started so recently that it may not know how many hosts there are.
-    pub(crate) fn is_unsure_of_hosts(&self, now: Millis) -> bool {
+    pub(crate) fn is_discovering_hosts(&self, now: Millis) -> bool {
         now < HOST_DISCOVERY_TIME
     }
 
     /// Returns the number of hosts among which a limit is divided for requests that no scheduler counts.
-    pub(crate) fn lone_hosts(&self) -> usize {
+    pub(crate) fn standalone_hosts(&self) -> usize {
         let known = self.peers.borrow().sharing_hosts();
-        if self.is_unsure_of_hosts(self.now()) {
+        if self.is_discovering_hosts(self.now()) {
             return known.max(ASSUMED_HOSTS_MIN);
         }
         known
@@ -329,7 +329,7 @@
 
     /// Returns whether requests with API keys may be served: the configuration was verified to be current within the
     /// bound on the delay of revocations.
-    pub(crate) fn knows_revocations(&self, now: Millis) -> bool {
+    pub(crate) fn is_config_fresh(&self, now: Millis) -> bool {
         let bound = self.boot().bounds.revoke;
         let freshness = self.organisations.freshness();
         bound.is_none_or(|bound| freshness.is_fresh(now, bound))
@@ -341,19 +341,19 @@
         if self.source.core.get() {
             return self.peers.borrow().recent_peers(now).next().is_some();
         }
-        now.since(self.source.replied.get()) <= RELAY_REPLY_TIMEOUT
+        now.since(self.source.last_reply.get()) <= RELAY_REPLY_TIMEOUT
     }
 
     /// Returns whether the store may have been down at some time within the last `age`. A process that has not run for
     /// that long can't know and returns true.
-    pub(crate) fn store_was_away(&self, now: Millis, age: Millis) -> bool {
+    pub(crate) fn store_was_down(&self, now: Millis, age: Millis) -> bool {
         let lost = self.store_lost.get();
         now <= age || !self.store_up.get() || lost.is_some_and(|at| now.since(at) <= age)
     }
 
     /// Returns whether this host and every other one report that the store is down. A successor that reaches the store
     /// does not report that, so it may assume that no key lease of the longer duration for outages was granted.
-    pub(crate) fn all_lost_store(&self, now: Millis) -> bool {
+    pub(crate) fn store_down_everywhere(&self, now: Millis) -> bool {
         !self.store_up.get() && self.peers.borrow().all_lost_store(now)
     }
 
@@ -367,7 +367,7 @@
 
     /// Returns the index of the next service of a route by weighted round robin. The start depends on the process, so
     /// that hosts do not all begin with the same one.
-    pub(crate) fn turn(&self, route: &str, weights: &[u32]) -> usize {
+    pub(crate) fn next_weighted(&self, route: &str, weights: &[u32]) -> usize {
         let mut turns = self.turns.borrow_mut();
         let turn = turns.entry(route.to_owned()).or_default();
         let start = (self.process.instance % 1_000) as f64 / 1_000.0;
@@ -376,7 +376,7 @@
 
     /// Returns the mean service time of the route's requests at an average server, in microseconds; before the first
     /// observation a third of the latency target `aim`.
-    pub(crate) fn work(&self, route: &str, aim: Millis) -> f64 {
+    pub(crate) fn expected_work_us(&self, route: &str, aim: Millis) -> f64 {
         let work_means = self.work_means.borrow();
         work_means
             .get(route)
@@ -386,10 +386,10 @@
 
     /// Records the service time `us` of a request of the route, in microseconds. An observation counts at most as five
     /// times the mean.
-    pub(crate) fn worked(&self, route: &str, aim: Millis, us: f64) {
+    pub(crate) fn record_work(&self, route: &str, aim: Millis, us: f64) {
         /// Weight of a new observation in the exponentially weighted mean.
         const EWMA_WEIGHT: f64 = 0.05;
-        let before = self.work(route, aim);
+        let before = self.expected_work_us(route, aim);
         let after = before + (us.min(before * 5.0) - before) * EWMA_WEIGHT;
         self.work_means.borrow_mut().insert(route.to_owned(), after);
     }
--- a/crates/chicoryrail-router/src/state/schedulers.rs
+++ b/crates/chicoryrail-router/src/state/schedulers.rs
@@ -12,12 +12,12 @@
 use chicoryrail_policy::RemoteFreeSlots;
 use chicoryrail_policy::Scheduler;
 
-use crate::talk::PartName;
-use crate::talk::PartRoom;
+use crate::messages::PartName;
+use crate::messages::PartRoom;
 
 /// The host and the request that a slot query came from.
 #[derive(Clone, Debug)]
-pub(crate) struct Origin {
+pub(crate) struct QueryOrigin {
     /// Address of the host that sent the query; `None` for this host.
     pub(crate) from: Option<SocketAddr>,
     /// Request id from the caller, for the log.
@@ -32,7 +32,7 @@
 pub(crate) struct Schedulers {
     pub(crate) by_part: RefCell<BTreeMap<PartName, Scheduler>>,
     /// Origin of each slot query, by ticket.
-    pub(crate) origins: RefCell<HashMap<u64, Origin>>,
+    pub(crate) origins: RefCell<HashMap<u64, QueryOrigin>>,
     /// Data centres by their number.
     dcs: RefCell<Vec<DcName>>,
     /// Free slots that the schedulers of divided services reported.
@@ -41,7 +41,7 @@
 
 impl Schedulers {
     /// Records how many slots of a part are free.
-    pub(crate) fn heard_room(&self, now: Millis, room: &PartRoom) {
+    pub(crate) fn record_free_slots(&self, now: Millis, room: &PartRoom) {
         let Some(dc) = &room.part.dc else {
             return;
         };
@@ -51,7 +51,7 @@
     }
 
     /// Takes a free slot of another part of the same service and returns the data centre of that part.
-    pub(crate) fn take_room(&self, now: Millis, part: &PartName) -> Option<DcName> {
+    pub(crate) fn take_free_slot(&self, now: Millis, part: &PartName) -> Option<DcName> {
         let own = part.dc.as_ref()?;
         let mut free_slots = self.free_slots.borrow_mut();
         free_slots.get_mut(&part.service)?.take_slot(now, own)
--- a/crates/chicoryrail-router/src/state/service.rs
+++ b/crates/chicoryrail-router/src/state/service.rs
@@ -16,8 +16,8 @@
 use chicoryrail_policy::ServerId;
 use chicoryrail_runtime::Signal;
 
+use crate::messages::PartName;
 use crate::state::Target;
-use crate::talk::PartName;
 
 /// Average number of servers per data centre from which each data centre of a service that is not keyed is scheduled
 /// separately. Fewer servers are better scheduled together: a request can use a free one anywhere, and one host can
@@ -40,12 +40,12 @@
     /// Notified when a request ends at a server, or when servers or key owners change.
     pub(crate) changed: Signal,
     /// Keys of requests since the last report to the leader.
-    pub(crate) asked: RefCell<Vec<u16>>,
+    pub(crate) requested_keys: RefCell<Vec<u16>>,
     /// Servers of the service, by incarnation.
     pub(crate) targets: RefCell<HashMap<Life, Rc<Target>>>,
     pub(crate) keyed: Cell<bool>,
     /// Whether the servers of each data centre are scheduled separately.
-    pub(crate) divided: Cell<bool>,
+    pub(crate) partitioned: Cell<bool>,
     next_id: Cell<u32>,
 }
 
@@ -58,18 +58,18 @@
             retries: RefCell::default(),
             keys: RefCell::default(),
             changed: Signal::default(),
-            asked: RefCell::default(),
+            requested_keys: RefCell::default(),
             targets: RefCell::default(),
             keyed: Cell::new(false),
-            divided: Cell::new(false),
+            partitioned: Cell::new(false),
             next_id: Cell::new(0),
         })
     }
 
     /// Records the key of a request for the report to the leader, which balances load by key. Keys beyond
     /// [`REPORTED_KEYS_MAX`] are dropped, which only makes the report less precise.
-    pub(crate) fn note_key(&self, key: u16) {
-        let mut asked = self.asked.borrow_mut();
+    pub(crate) fn record_key(&self, key: u16) {
+        let mut asked = self.requested_keys.borrow_mut();
         if asked.len() < REPORTED_KEYS_MAX {
             asked.push(key);
         }
@@ -86,30 +86,30 @@
     ///
     /// With hundreds of servers and requests per second, a single scheduling host would be a bottleneck, and slot
     /// queries and their decisions would cross data centres.
-    pub(crate) fn update_divided(&self) {
+    pub(crate) fn update_partitioned(&self) {
         let targets = self.targets.borrow();
         let mut dcs: Vec<&DcName> = targets.values().map(|t| &t.dc).collect();
         dcs.sort();
         dcs.dedup();
         let enough = targets.len() >= SERVERS_PER_PART_MIN * dcs.len();
-        self.divided
+        self.partitioned
             .set(!self.is_keyed() && dcs.len() > 1 && enough);
     }
 
     /// Returns the parts of a divided service; empty if the service is not divided.
     pub(crate) fn parts(&self) -> BTreeSet<PartName> {
-        if !self.divided.get() {
+        if !self.partitioned.get() {
             return BTreeSet::new();
         }
         let targets = self.targets.borrow();
-        targets.values().map(|t| self.part_in(&t.dc)).collect()
+        targets.values().map(|t| self.part_of(&t.dc)).collect()
     }
 
     /// Returns the part to which the servers of a data centre belong.
-    pub(crate) fn part_in(&self, dc: &DcName) -> PartName {
+    pub(crate) fn part_of(&self, dc: &DcName) -> PartName {
         PartName {
             service: self.name.clone(),
-            dc: self.divided.get().then(|| dc.clone()),
+            dc: self.partitioned.get().then(|| dc.clone()),
         }
     }
 
@@ -125,13 +125,13 @@
 
     /// Returns the servers that may receive new requests: the ready ones, or, if there are none, the draining ones that
     /// still may receive requests.
-    pub(crate) fn open_targets(&self, now: Millis) -> Vec<Rc<Target>> {
+    pub(crate) fn accepting_targets(&self, now: Millis) -> Vec<Rc<Target>> {
         let targets = self.targets.borrow();
         let open: Vec<_> = targets.values().filter(|t| t.is_ready()).cloned().collect();
         if !open.is_empty() {
             return open;
         }
-        let draining = targets.values().filter(|t| t.may_get(now));
+        let draining = targets.values().filter(|t| t.accepts_requests(now));
         draining.cloned().collect()
     }
 }
--- a/crates/chicoryrail-router/src/state/source.rs
+++ b/crates/chicoryrail-router/src/state/source.rs
@@ -24,12 +24,12 @@
     /// Whether this is a core host: it is listed in the store, schedules requests and may lead.
     pub(crate) core: Cell<bool>,
     /// When the list of core hosts was first read; `None` before that.
-    pub(crate) listed: Cell<Option<Millis>>,
+    pub(crate) core_known_at: Cell<Option<Millis>>,
     pub(crate) source: Cell<Source>,
     /// Notified when the source changes.
     pub(crate) changed: Signal,
     /// Time of the last reply of a relay.
-    pub(crate) replied: Cell<Millis>,
+    pub(crate) last_reply: Cell<Millis>,
 }
 
 impl SourceState {
--- a/crates/chicoryrail-router/src/state/target.rs
+++ b/crates/chicoryrail-router/src/state/target.rs
@@ -37,12 +37,12 @@
     pub(crate) addr: SocketAddr,
     pub(crate) dc: DcName,
     /// When this host first learned of this incarnation at this address.
-    pub(crate) known: Millis,
+    pub(crate) first_seen: Millis,
     /// Value of the request header that names the expected server.
-    pub(crate) header: HeaderValue,
+    pub(crate) expect_header: HeaderValue,
     pub(crate) pool: ServerPool,
     /// Pacing of requests while the server warms up.
-    pub(crate) cold: RefCell<WarmupPacer>,
+    pub(crate) warmup: RefCell<WarmupPacer>,
     /// End of the warm-up, as far as is known.
     pub(crate) warmup_until: Cell<Millis>,
     /// Rate limit that the server's responses advertise.
@@ -51,7 +51,7 @@
     pub(crate) slots: Cell<u32>,
     pub(crate) admission: Cell<Admission>,
     /// Whether this host schedules the requests for the server; `None` until that is determined.
-    pub(crate) ours: Cell<Option<bool>>,
+    pub(crate) scheduled_here: Cell<Option<bool>>,
 }
 
 impl Target {
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether the server may receive new requests now; a draining server may until its end time.
-    pub(crate) fn may_get(&self, now: Millis) -> bool {
+    pub(crate) fn accepts_requests(&self, now: Millis) -> bool {
         match self.admission.get() {
             Admission::Open => true,
             Admission::Draining(end) => now < end,
@@ -70,12 +70,12 @@
     }
 
     /// Returns whether the server is warming up.
-    pub(crate) fn is_cold(&self, now: Millis) -> bool {
+    pub(crate) fn is_warming_up(&self, now: Millis) -> bool {
         now < self.warmup_until.get()
     }
 
     /// Records the rate limit that a response advertised, and logs it if it changed.
-    pub(crate) fn hear_limit(&self, now: Millis, notice: AdvertisedRate) {
+    pub(crate) fn record_rate_limit(&self, now: Millis, notice: AdvertisedRate) {
         let mut limit = self.limit.get();
         if limit.record(now, notice) {
             let from = self.limit.get().rate(now);
@@ -85,7 +85,7 @@
     }
 
     /// Extends the warm-up to `left` from now; it is never shortened.
-    pub(crate) fn cold_for(&self, now: Millis, left: Millis) {
+    pub(crate) fn extend_warmup(&self, now: Millis, left: Millis) {
         if left > Millis::ZERO {
             self.warmup_until
                 .set(self.warmup_until.get().max(now + left));
--- a/crates/chicoryrail-router/src/state/view.rs
+++ b/crates/chicoryrail-router/src/state/view.rs
@@ -86,7 +86,7 @@
     /// Revision up to which each feed was read.
     revisions: BTreeMap<Feed, u64>,
     /// When the store last recovered from an outage.
-    back: Option<Millis>,
+    recovered_at: Option<Millis>,
 }
 
 impl View {
@@ -111,7 +111,7 @@
     }
 
     /// Iterates over the router's own keys with the given prefix, and their values.
-    pub(crate) fn own_below<'a>(
+    pub(crate) fn own_with_prefix<'a>(
         &'a self,
         prefix: &'a str,
     ) -> impl Iterator<Item = (&'a str, &'a OwnItem)> {
@@ -121,12 +121,12 @@
     }
 
     /// Returns the revision up to which a feed was read; `None` if it was not read yet.
-    pub(crate) fn heard(&self, feed: Feed) -> Option<u64> {
+    pub(crate) fn read_revision(&self, feed: Feed) -> Option<u64> {
         self.revisions.get(&feed).copied()
     }
 
     /// Records that a feed was read up to a revision; the recorded revision never decreases.
-    pub(crate) fn hear(&mut self, feed: Feed, revision: u64) {
+    pub(crate) fn advance(&mut self, feed: Feed, revision: u64) {
         let last = self.revisions.entry(feed).or_default();
         *last = revision.max(*last);
     }
@@ -137,13 +137,13 @@
     }
 
     /// Records that the store recovered from an outage at `at`.
-    pub(crate) fn store_back(&mut self, at: Millis) {
-        self.back = self.back.max(Some(at));
+    pub(crate) fn record_recovery(&mut self, at: Millis) {
+        self.recovered_at = self.recovered_at.max(Some(at));
     }
 
     /// Returns when the store last recovered from an outage.
-    pub(crate) const fn back(&self) -> Option<Millis> {
-        self.back
+    pub(crate) const fn recovered_at(&self) -> Option<Millis> {
+        self.recovered_at
     }
 
     /// Replaces the content of a feed by a snapshot and returns the changes.
@@ -159,7 +159,7 @@
         for item in &all.items {
             changes.extend(self.put(now, item));
         }
-        self.hear(feed, all.revision);
+        self.advance(feed, all.revision);
         changes
     }
 
@@ -197,7 +197,7 @@
 
     /// Removes the servers whose entries are missing and whose grace time is over, and returns their names.
     pub(crate) fn expire(&mut self, now: Millis) -> Vec<ServerName> {
-        let back = self.back;
+        let back = self.recovered_at;
         let is_gone = |r: &ServerEntry| {
             let Some(missing) = r.missing else {
                 return false;
--- a/crates/chicoryrail-router/tests/answers.rs
+++ b/crates/chicoryrail-router/tests/answers.rs
@@ -112,7 +112,7 @@
         let response = router.caller().post(&format!("/order/1?{query}")).await;
         let succeeded = response.is_ok_and(|a| a.status().is_success());
         assert!(!succeeded);
-        assert_eq!(server.runs(), 1);
+        assert_eq!(server.executed(), 1);
     });
 }
 
@@ -157,12 +157,14 @@
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
         let caller = router.caller();
-        caller.leaves("/read/1?work_us=8000000", Millis(200)).await;
+        caller
+            .cancel_after("/read/1?work_us=8000000", Millis(200))
+            .await;
         wait_until("the read is cancelled", async || {
             server.ledger().cancelled > 0
         })
         .await;
-        assert_eq!(server.runs(), 0);
+        assert_eq!(server.executed(), 0);
         wait_until("the cancellation is logged", async || {
             router.log().contains("log=request_given_up")
         })
@@ -180,7 +182,7 @@
         let server = world.server("i-1", "desk").await;
         let routers = [world.router("a").await, world.router("b").await];
         monoio::time::sleep(Millis(1_000).duration()).await;
-        server.takes(Millis(20));
+        server.set_work(Millis(20));
         let calls = (0..20).map(|i| {
             let caller = routers[i % 2].caller();
             async move { caller.get("/read/1").await.unwrap().status() }
--- a/crates/chicoryrail-router/tests/bad_input.rs
+++ b/crates/chicoryrail-router/tests/bad_input.rs
@@ -61,7 +61,7 @@
     async fn assert_healthy(&mut self) {
         let response = self.router.caller().get("/read/well").await.unwrap();
         assert_eq!(response.status(), 200);
-        assert_eq!(self.router.ended(), None);
+        assert_eq!(self.router.exit_code(), None);
     }
 
     fn memory(&self) -> u64 {
@@ -152,7 +152,12 @@
         let closed = seen.is_empty();
         let refused = seen.len() == 1 && expected.contains(&seen[0]);
         assert!(closed || refused, "{}", String::from_utf8_lossy(&response));
-        assert_eq!(fixture.server.runs(), 0, "{:?}", fixture.server.ran());
+        assert_eq!(
+            fixture.server.executed(),
+            0,
+            "{:?}",
+            fixture.server.executed_ids()
+        );
         fixture.assert_healthy().await;
     });
 }
@@ -173,7 +178,7 @@
         let bytes = format!("{head}{hidden}");
         let response = exchange(fixture.addr(), bytes.as_bytes(), false).await;
         assert!(statuses(&response).len() <= 1);
-        assert!(fixture.server.ran().iter().all(|r| r == "r1"));
+        assert!(fixture.server.executed_ids().iter().all(|r| r == "r1"));
         fixture.assert_healthy().await;
     });
 }
@@ -230,7 +235,7 @@
             let waits = ended.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
             assert!(!waits, "a slow connection is still open");
         }
-        assert_eq!(fixture.server.runs(), 1);
+        assert_eq!(fixture.server.executed(), 1);
         let grown = fixture.memory().saturating_sub(before);
         assert!(grown < GROWTH_MAX_KIB, "{grown} KiB");
     });
--- a/crates/chicoryrail-router/tests/callers.rs
+++ b/crates/chicoryrail-router/tests/callers.rs
@@ -29,7 +29,7 @@
         assert_eq!(AnswerHead::check(response.body()).unwrap().server, "i-1");
         assert_eq!(caller.post("/order/1").await.unwrap().status(), 200);
         assert_eq!(caller.get("/none/1").await.unwrap().status(), 404);
-        assert_eq!(server.ran(), ["a-1-1", "a-1-2"]);
+        assert_eq!(server.executed_ids(), ["a-1-1", "a-1-2"]);
     });
 }
 
@@ -59,10 +59,10 @@
 #[case::failed_read(Mode::Fail, "read", 500, 2)]
 #[case::lost_order(Mode::LoseAnswer, "order", 502, 1)]
 #[case::lost_read(Mode::LoseAnswer, "read", 502, 2)]
-#[case::crossed_order(Mode::Cross, "order", 502, 1)]
-#[case::crossed_read(Mode::Cross, "read", 502, 2)]
-#[case::unmarked_order(Mode::Unmarked, "order", 502, 1)]
-#[case::unmarked_read(Mode::Unmarked, "read", 502, 2)]
+#[case::crossed_order(Mode::WrongRequestId, "order", 502, 1)]
+#[case::crossed_read(Mode::WrongRequestId, "read", 502, 2)]
+#[case::unmarked_order(Mode::NoStamp, "order", 502, 1)]
+#[case::unmarked_read(Mode::NoStamp, "read", 502, 2)]
 fn status_tells_whether_a_request_ran(
     #[case] mode: Mode,
     #[case] kind: &str,
@@ -79,17 +79,17 @@
         let router = world.router("a").await;
         // A server's first response has no earlier one that it could be swapped with.
         for server in &servers {
-            server.ask_directly().await;
+            server.call_directly().await;
         }
-        let before: usize = servers.iter().map(|s| s.runs()).sum();
-        servers.iter().for_each(|s| s.does(mode));
+        let before: usize = servers.iter().map(|s| s.executed()).sum();
+        servers.iter().for_each(|s| s.set_mode(mode));
         let caller = router.caller();
         let response = match kind {
             "order" => caller.post("/order/1").await.unwrap(),
             _ => caller.get("/read/1").await.unwrap(),
         };
         assert_eq!(response.status(), status);
-        let ran: usize = servers.iter().map(|s| s.runs()).sum();
+        let ran: usize = servers.iter().map(|s| s.executed()).sum();
         assert_eq!(ran - before, runs);
         let marked = response.headers().contains_key(call_header::STAMP);
         assert_eq!(marked, mode == Mode::Fail);
@@ -106,11 +106,11 @@
         let failing = world.server("i-1", "desk").await;
         let healthy = world.server("i-2", "desk").await;
         let router = world.router("a").await;
-        failing.does(Mode::LoseAnswer);
+        failing.set_mode(Mode::LoseAnswer);
         for _ in 0..10 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
-        assert_eq!(healthy.runs(), 10);
+        assert_eq!(healthy.executed(), 10);
     });
 }
 
--- a/crates/chicoryrail-router/tests/divided.rs
+++ b/crates/chicoryrail-router/tests/divided.rs
@@ -24,14 +24,14 @@
             ..TargetOptions::new(&format!("{dc}-{i:02}"))
         };
         let server = world.server_with(options).await;
-        server.takes(Millis(300));
+        server.set_work(Millis(300));
         servers.push(server);
     }
     servers
 }
 
 fn runs(servers: &[Rc<Server>]) -> usize {
-    servers.iter().map(|s| s.runs()).sum()
+    servers.iter().map(|s| s.executed()).sum()
 }
 
 /// Guards against requests that leave their callers' data centre although it has free slots, and against requests that
--- a/crates/chicoryrail-router/tests/keys.rs
+++ b/crates/chicoryrail-router/tests/keys.rs
@@ -26,7 +26,7 @@
         world.server("k-2", "kits").await,
     ];
     let router = world.router("a").await;
-    let held = |key: u16| servers.iter().any(|s| s.holds(key));
+    let held = |key: u16| servers.iter().any(|s| s.owns(key));
     wait_until("all keys are granted", async || {
         KEYS.iter().all(|k| held(*k))
     })
@@ -46,7 +46,7 @@
             world.server("k-3", "kits").await,
         ];
         let routers = [world.router("a").await, world.router("b").await];
-        let held = |key| servers.iter().filter(|s| s.holds(key)).count();
+        let held = |key| servers.iter().filter(|s| s.owns(key)).count();
         wait_until("all keys are granted", async || {
             KEYS.iter().all(|k| held(*k) == 1)
         })
@@ -72,10 +72,10 @@
         let (_world, [draining, staying], router) = start_keyed("handover").await;
         draining.fault(TargetFault::Leave);
         wait_until("all keys moved", async || {
-            KEYS.iter().all(|k| staying.holds(*k))
+            KEYS.iter().all(|k| staying.owns(*k))
         })
         .await;
-        assert!(KEYS.iter().all(|k| !draining.holds(*k)));
+        assert!(KEYS.iter().all(|k| !draining.owns(*k)));
         assert!(draining.ledger().releases > 0);
         for key in KEYS {
             assert_eq!(router.caller().key(key).await.unwrap().status(), 200);
@@ -150,18 +150,18 @@
         world.fault(&down).await;
         monoio::time::sleep(Millis(4_200).duration()).await;
         first.signal(Signal::SIGKILL);
-        unreachable.is_deaf();
+        unreachable.ignore_key_calls();
         let second = world.spawn("b");
         wait_until("the other host leads", async || {
             second.log().contains("log=leader_won")
         })
         .await;
         world.remove("servers/k-1").await;
-        let both = |key: u16| unreachable.holds(key) && staying.holds(key);
+        let both = |key: u16| unreachable.owns(key) && staying.owns(key);
         let mut moved = false;
         for _ in 0..1_300 {
             assert!(!KEYS.iter().any(|k| both(*k)), "a key has two owners");
-            moved = KEYS.iter().all(|k| staying.holds(*k));
+            moved = KEYS.iter().all(|k| staying.owns(*k));
             if moved {
                 break;
             }
--- a/crates/chicoryrail-router/tests/leaf_hosts.rs
+++ b/crates/chicoryrail-router/tests/leaf_hosts.rs
@@ -31,7 +31,7 @@
         for name in ["a", "b", "c"] {
             core.push(world.router(name).await);
         }
-        let leaf = world.weak_router("leaf").await;
+        let leaf = world.low_power_router("leaf").await;
         Self {
             world,
             core,
@@ -57,13 +57,13 @@
             self.leaf.log().contains("server_entry_gone")
         })
         .await;
-        let before = self.removed.runs();
+        let before = self.removed.executed();
         for _ in 0..10 {
             let answer = self.leaf.caller().get("/read/1").await;
             assert_eq!(answer.unwrap().status(), 200);
         }
-        assert_eq!(self.removed.runs(), before);
-        assert!(self.staying.runs() >= 10);
+        assert_eq!(self.removed.executed(), before);
+        assert!(self.staying.executed() >= 10);
     }
 }
 
--- a/crates/chicoryrail-router/tests/operator.rs
+++ b/crates/chicoryrail-router/tests/operator.rs
@@ -21,7 +21,7 @@
         let world = World::start("hup").await;
         world.configure().await;
         let server = world.server("i-1", "desk").await;
-        server.takes(Millis(200));
+        server.set_work(Millis(200));
         let mut router = world.router("a").await;
         let caller = router.caller();
         let running = monoio::spawn(async move { (caller.get("/read/1").await, caller) });
@@ -34,7 +34,7 @@
             router.log().contains("log=reload")
         })
         .await;
-        assert_eq!(router.ended(), None);
+        assert_eq!(router.exit_code(), None);
     });
 }
 
@@ -46,7 +46,7 @@
         let world = World::start("term").await;
         world.configure().await;
         let server = world.server("i-1", "desk").await;
-        server.takes(Millis(400));
+        server.set_work(Millis(400));
         let mut router = world.router("a").await;
         let caller = router.caller();
         let running = monoio::spawn(async move { caller.post("/order/1").await });
@@ -58,8 +58,8 @@
         assert_eq!(late.status(), 200);
         assert_eq!(late.headers()["connection"], "close");
         assert_eq!(running.await.unwrap().status(), 200);
-        wait_until("the process exited", async || router.ended().is_some()).await;
-        assert_eq!(router.ended(), Some(0));
+        wait_until("the process exited", async || router.exit_code().is_some()).await;
+        assert_eq!(router.exit_code(), Some(0));
         assert!(router.log().contains("log=stop "));
     });
 }
@@ -81,7 +81,7 @@
         for _ in 0..20 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
-        let runs = [&draining, &deleted, &staying].map(|s| s.runs());
+        let runs = [&draining, &deleted, &staying].map(|s| s.executed());
         assert_eq!(runs, [0, 0, 20]);
     });
 }
@@ -103,7 +103,7 @@
         for _ in 0..10 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
-        let runs = [&draining, &staying].map(|s| s.runs());
+        let runs = [&draining, &staying].map(|s| s.executed());
         assert_eq!(runs, [0, 10]);
     });
 }
@@ -119,7 +119,7 @@
         let _server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
         monoio::time::sleep(Millis(1_500).duration()).await;
-        world.deafen(Millis(500)).await;
+        world.stall_watches(Millis(500)).await;
         world.configure().await;
         monoio::time::sleep(Millis(2_000).duration()).await;
         assert!(
@@ -162,7 +162,7 @@
         for _ in 0..5 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
-        assert_eq!(server.runs(), 5);
+        assert_eq!(server.executed(), 5);
         let log = router.log();
         assert_eq!(log.matches("entry=servers/i-2 field=address").count(), 2);
         assert!(log.contains("entry=op/config"));
@@ -200,10 +200,10 @@
         })
         .await;
         assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
-        let before: usize = servers.iter().map(|s| s.runs()).sum();
-        servers.iter().for_each(|s| s.does(Mode::LoseAnswer));
+        let before: usize = servers.iter().map(|s| s.executed()).sum();
+        servers.iter().for_each(|s| s.set_mode(Mode::LoseAnswer));
         assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 502);
-        let after: usize = servers.iter().map(|s| s.runs()).sum();
+        let after: usize = servers.iter().map(|s| s.executed()).sum();
         assert_eq!(after - before, 1);
         wait_until("the last request is logged", async || {
             router.log().contains("status=502")
@@ -227,7 +227,7 @@
         monoio::time::sleep(Millis(400).duration()).await;
         let refused = router.caller().get("/read/1").await.unwrap();
         assert_eq!(refused.status(), 503);
-        assert!(server.runs() == 0);
+        assert!(server.executed() == 0);
         world.remove("op/evacuate/west").await;
         monoio::time::sleep(Millis(400).duration()).await;
         assert_eq!(router.caller().get("/read/2").await.unwrap().status(), 200);
@@ -246,12 +246,12 @@
             world.server("i-2", "desk").await,
         ];
         let router = world.router("a").await;
-        servers.iter().for_each(|s| s.takes(Millis(1_200)));
+        servers.iter().for_each(|s| s.set_work(Millis(1_200)));
         router.signal(Signal::SIGTERM);
         monoio::time::sleep(Millis(50).duration()).await;
         let answer = router.caller().get("/read/1").await.unwrap();
         assert_eq!(answer.status(), 200);
-        let runs: usize = servers.iter().map(|s| s.runs()).sum();
+        let runs: usize = servers.iter().map(|s| s.executed()).sum();
         assert_eq!(runs, 1);
     });
 }
@@ -266,12 +266,12 @@
         let _server = world.server("i-1", "desk").await;
         let _router = world.router("a").await;
         monoio::time::sleep(Millis(500).duration()).await;
-        let before = world.watches().await;
+        let before = world.watch_requests().await;
         for fence in 1..=10 {
             world.put("chicoryrail/keys/other", &record(fence)).await;
             monoio::time::sleep(Millis(200).duration()).await;
         }
-        let watches = world.watches().await - before;
+        let watches = world.watch_requests().await - before;
         assert!(watches <= 2, "{watches} watches");
     });
 }
--- a/crates/chicoryrail-router/tests/organisations.rs
+++ b/crates/chicoryrail-router/tests/organisations.rs
@@ -86,7 +86,7 @@
             assert_eq!(run.organisation.as_deref(), Some("school"));
             assert!(!run.key_leaked);
         }
-        assert_eq!(server.runs(), usize::from(expected == 200));
+        assert_eq!(server.executed(), usize::from(expected == 200));
         assert!(!router.log().contains("secret"), "a key is in the log");
     });
 }
@@ -199,7 +199,7 @@
         put_organisations(&world, two_organisations(), false).await;
         world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        world.deafen(Millis(10_000)).await;
+        world.stall_watches(Millis(10_000)).await;
         put_organisations(
             &world,
             json!([{"name": "school", "api_keys": [SCHOOL_KEY]}]),
@@ -237,7 +237,11 @@
             }
         }
         // The rate for two seconds, the burst, and the allowance of a tenth and 20 requests; the loop takes less time.
-        assert!(server.runs() <= 66, "{} requests ran", server.runs());
+        assert!(
+            server.executed() <= 66,
+            "{} requests ran",
+            server.executed()
+        );
         assert!(refused >= 84, "{refused} requests were refused");
         assert_eq!(
             status(&router, "/read/1", SHOP_KEY).await,
--- a/crates/chicoryrail-router/tests/pipelined.rs
+++ b/crates/chicoryrail-router/tests/pipelined.rs
@@ -102,7 +102,7 @@
             world.server("i-1", "desk").await,
             world.server("i-2", "desk").await,
         ];
-        servers.iter().for_each(|s| s.takes(WORK));
+        servers.iter().for_each(|s| s.set_work(WORK));
         let router = world.router("a").await;
         let clock = Clock::start();
         let line = "GET /read/1";
@@ -120,7 +120,7 @@
         );
         let took = clock.now();
         assert!(took < WORK + WORK, "{took:?}");
-        let runs: usize = servers.iter().map(|s| s.runs()).sum();
+        let runs: usize = servers.iter().map(|s| s.executed()).sum();
         assert_eq!(runs, 4);
     });
 }
@@ -135,7 +135,7 @@
         world.configure().await;
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        server.does(Mode::LoseAnswer);
+        server.set_mode(Mode::LoseAnswer);
         let line = "GET /read/1";
         let sent = [("p-1", line), ("p-2", line), ("p-3", "GET /none/1")];
         let responses = Caller::send(router.callers, &sent).await.responses(3).await;
@@ -152,7 +152,7 @@
         let world = World::start("order-between").await;
         world.configure().await;
         let server = world.server("i-1", "desk").await;
-        server.takes(Millis(50));
+        server.set_work(Millis(50));
         let router = world.router("a").await;
         let sent = [
             ("p-1", "GET /read/1"),
@@ -161,6 +161,6 @@
         ];
         let responses = Caller::send(router.callers, &sent).await.responses(3).await;
         assert_eq!(responses, expected_responses(&["p-1", "p-2", "p-3"], "200"));
-        assert_eq!(server.ran(), ["p-1", "p-2", "p-3"]);
+        assert_eq!(server.executed_ids(), ["p-1", "p-2", "p-3"]);
     });
 }
--- a/crates/chicoryrail-router/tests/slow_links.rs
+++ b/crates/chicoryrail-router/tests/slow_links.rs
@@ -50,7 +50,7 @@
         world.server("i-1", "desk").await;
         let mut net = Net::start(1);
         let link = slow_link(&mut net, world.store_addr(), STORE_LINK_RATE);
-        let host = world.spawn_weak_at("a", link.addr());
+        let host = world.spawn_low_power_at("a", link.addr());
         wait_until_serving(&host).await;
         assert!(!host.log().contains("log=store_lost"), "{}", host.log());
     });
@@ -83,7 +83,7 @@
                 .put_own(&host_key(&name.into()), &listed.to_value())
                 .await;
         }
-        let leaf = world.spawn_weak_at("leaf", lists.store_addr());
+        let leaf = world.spawn_low_power_at("leaf", lists.store_addr());
         wait_until_serving(&leaf).await;
         let log = leaf.log();
         assert!(!log.contains("log=relay_failed"), "{log}");
--- a/crates/chicoryrail-router/tests/support/server.rs
+++ b/crates/chicoryrail-router/tests/support/server.rs
@@ -36,9 +36,9 @@
     /// Runs the request and closes the connection without a response.
     LoseAnswer,
     /// Runs the request and responds with the id of another request.
-    Cross,
+    WrongRequestId,
     /// Runs the request and responds without the stamp that identifies the server.
-    Unmarked,
+    NoStamp,
 }
 
 /// A server that records the requests that it ran.
@@ -71,20 +71,20 @@
     }
 
     /// Handles all further requests in this mode.
-    pub fn does(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         let (for_ms, share) = (FAULT_MS, 1.0);
         self.target.fault(match mode {
             Mode::Answer => return,
             Mode::Refuse => TargetFault::Refuse { for_ms, share },
             Mode::Fail => TargetFault::Fail { for_ms, share },
             Mode::LoseAnswer => TargetFault::LoseAnswers { for_ms, share },
-            Mode::Cross => TargetFault::Crossed { for_ms, share },
-            Mode::Unmarked => TargetFault::Unmarked { for_ms },
+            Mode::WrongRequestId => TargetFault::Crossed { for_ms, share },
+            Mode::NoStamp => TargetFault::Unmarked { for_ms },
         });
     }
 
     /// Sets the service time of all further requests.
-    pub fn takes(&self, work: Millis) {
+    pub fn set_work(&self, work: Millis) {
         self.target.fault(TargetFault::Slow {
             for_ms: FAULT_MS,
             factor: work.0 as f64 / SERVICE_TIME.0 as f64,
@@ -92,12 +92,12 @@
     }
 
     /// Ignores all further calls that grant or release keys.
-    pub fn is_deaf(&self) {
+    pub fn ignore_key_calls(&self) {
         self.target.fault(TargetFault::Deaf { for_ms: FAULT_MS });
     }
 
     /// Sends a request to the server directly, without the router.
-    pub async fn ask_directly(&self) {
+    pub async fn call_directly(&self) {
         let request = Request::get("/read/0")
             .header(call_header::REQUEST_ID, "directly")
             .body(Bytes::new())
@@ -107,7 +107,7 @@
     }
 
     /// Returns whether the server currently holds the lease of a key.
-    pub fn holds(&self, key: u16) -> bool {
+    pub fn owns(&self, key: u16) -> bool {
         self.target.holds(key)
     }
 
@@ -116,13 +116,13 @@
     }
 
     /// Returns the ids of the requests that the server ran, in order.
-    pub fn ran(&self) -> Vec<String> {
+    pub fn executed_ids(&self) -> Vec<String> {
         let runs = self.target.ledger().runs;
         runs.into_iter().map(|r| r.request).collect()
     }
 
     /// Returns the number of requests that the server ran.
-    pub fn runs(&self) -> usize {
+    pub fn executed(&self) -> usize {
         self.target.ledger().runs.len()
     }
 }
--- a/crates/chicoryrail-router/tests/support/world.rs
+++ b/crates/chicoryrail-router/tests/support/world.rs
@@ -180,7 +180,7 @@
     }
 
     /// Returns the number of watches that the store has opened so far.
-    pub async fn watches(&self) -> u64 {
+    pub async fn watch_requests(&self) -> u64 {
         let request = Request::get("/testkit/stats").body(Bytes::new()).unwrap();
         let client = HttpClient::default();
         let answer = client
@@ -204,7 +204,7 @@
     }
 
     /// Makes the store send no watch events for `time`, then drop its history and close all watches.
-    pub async fn deafen(&self, time: Millis) {
+    pub async fn stall_watches(&self, time: Millis) {
         let path = format!("/testkit/deafen?for_ms={}", time.0);
         let request = Request::put(path).body(Bytes::new()).unwrap();
         let client = HttpClient::default();
@@ -227,14 +227,14 @@
     }
 
     /// Starts a router process on a host with a small CPU share, and waits until it is ready for callers.
-    pub async fn weak_router(&self, name: &str) -> RouterProcess {
+    pub async fn low_power_router(&self, name: &str) -> RouterProcess {
         let router = self.spawn_on(name, LOW_CPU_SHARE);
         wait_until("the router is ready", async || router.is_ready().await).await;
         router
     }
 
     /// Starts a router process on a host with a small CPU share that reaches the store at `store`.
-    pub fn spawn_weak_at(&self, name: &str, store: SocketAddr) -> RouterProcess {
+    pub fn spawn_low_power_at(&self, name: &str, store: SocketAddr) -> RouterProcess {
         self.spawn_at(name, LOW_CPU_SHARE, store)
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// Returns the exit code if the process has ended; -1 if a signal ended it.
-    pub fn ended(&mut self) -> Option<i32> {
+    pub fn exit_code(&mut self) -> Option<i32> {
         let status = self.child.try_wait().unwrap()?;
         Some(status.code().unwrap_or(-1))
     }
@@ -388,7 +388,7 @@
     }
 
     /// Sends a request and disconnects if there is no response within `timeout`.
-    pub async fn leaves(&self, path: &str, timeout: Millis) {
+    pub async fn cancel_after(&self, path: &str, timeout: Millis) {
         let request = Request::get(path)
             .header("host", "shop.example")
             .header(call_header::REQUEST_ID, format!("{}-left", self.name))
