--- a/crates/chicoryrail-ownership/src/keys/assignment.rs
+++ b/crates/chicoryrail-ownership/src/keys/assignment.rs
@@ -33,7 +33,7 @@
 /// go to about this many servers at most, and a new server takes its keys in at most this many pieces.
 const SUCCESSORS_PER_SERVER: f64 = 4.0;
 
-/// Average number of ranges for each server above which cold ranges are merged into a neighbour's. Each
+/// Average number of ranges for each server above which lightly loaded ranges are merged into a neighbour's. Each
 /// range costs a renewal every 600 ms.
 const RANGES_PER_SERVER_TARGET: f64 = 1.6;
 
@@ -41,7 +41,7 @@
 /// leader's heartbeat carries every range and must fit into a datagram.
 const RANGES_PER_SERVER_MAX: usize = 4;
 
-/// Load, as a fraction of a fair share, up to which a range counts as cold.
+/// Load, as a fraction of a fair share, up to which a range counts as lightly loaded.
 const COLD_RANGE_SHARE: f64 = 0.08;
 
 /// Lower bound of the limit on merges in one plan: as many as the ranges that the plan's moves may add.
@@ -275,23 +275,23 @@
         piece.copied().filter(|span| density_of(span) >= density)
     }
 
-    /// Merges cold ranges into a neighbour's while there are more ranges than the target.
-    pub(crate) fn merge_cold(&mut self) {
+    /// Merges lightly loaded ranges into a neighbour's while there are more ranges than the target.
+    pub(crate) fn merge_lightly_loaded(&mut self) {
         let target = (self.candidates.len() as f64 * RANGES_PER_SERVER_TARGET).ceil() as usize;
         for _ in 0..MERGES_MIN.max(self.candidates.len()) {
             if self.ranges.len() <= target {
                 return;
             }
-            let Some((at, to)) = self.coldest_mergeable() else {
+            let Some((at, to)) = self.least_loaded_mergeable() else {
                 return;
             };
             self.assign(self.ranges[at].0, to);
         }
     }
 
-    /// Returns the index of the least loaded cold range whose neighbour has enough spare load, and that
+    /// Returns the index of the least loaded range whose neighbour has enough spare load, and that
     /// neighbour. The only range of a candidate is not merged.
-    fn coldest_mergeable(&self) -> Option<(usize, usize)> {
+    fn least_loaded_mergeable(&self) -> Option<(usize, usize)> {
         let mut best: Option<(f64, usize, usize)> = None;
         let mut range_counts = vec![0; self.candidates.len()];
         for owner in self.ranges.iter().filter_map(|(_, h)| *h) {
--- a/crates/chicoryrail-ownership/src/keys/plan.rs
+++ b/crates/chicoryrail-ownership/src/keys/plan.rs
@@ -116,7 +116,7 @@
         if !membership_changed && !improves {
             return Self::Keep;
         }
-        assignment.merge_cold();
+        assignment.merge_lightly_loaded();
         Self::Change(assignment.into_spans())
     }
 }
--- a/crates/chicoryrail-ownership/src/reach.rs
+++ b/crates/chicoryrail-ownership/src/reach.rs
@@ -12,14 +12,14 @@
 /// an answer from each data centre several times within it.
 const ANSWER_AGE_MAX: Millis = Millis(600);
 
-/// Time for which all servers of a data centre must have been silent to the leader. Another host's last
+/// Time for which all servers of a data centre must have left the leader's calls unanswered. Another host's last
 /// heartbeat may report answers from before a loss (up to 600 ms old, with 400 ms until its next
 /// heartbeat). A longer time avoids mistaking a lost data centre for one that only this host can't reach.
-const SILENCE_MIN: Millis = Millis(1_000);
+const UNANSWERED_TIME_MIN: Millis = Millis(1_000);
 
-/// Minimum number of silent servers from which a data centre counts as silent; a single one may be faulty
-/// itself.
-const SILENT_SERVERS_MIN: usize = 2;
+/// Minimum number of servers that do not answer from which a data centre counts as unreachable; a single one
+/// may be faulty itself.
+const UNANSWERED_SERVERS_MIN: usize = 2;
 
 /// Time of the last answer from each data centre.
 #[derive(Clone, Debug, Default)]
@@ -49,7 +49,7 @@
     /// Returns a data centre that this leader can't reach but another host can, if that host also reaches
     /// all others that this one reaches. That host should lead.
     ///
-    /// `servers` are the servers with keys: the data centre of each, and since when it has been silent.
+    /// `servers` are the servers with keys: the data centre of each, and since when it has not answered.
     /// Packets between two data centres may pass in one direction only. A leader in one of them would
     /// consider the other's servers lost and reassign their keys, although callers elsewhere can reach
     /// them.
@@ -62,14 +62,14 @@
     ) -> Option<DcName> {
         let mut by_dc: BTreeMap<&DcName, (usize, bool)> = BTreeMap::new();
         for (dc, since) in servers {
-            let (count, all_silent) = by_dc.entry(dc).or_insert((0, true));
+            let (count, all_unanswered) = by_dc.entry(dc).or_insert((0, true));
             *count += 1;
-            *all_silent &= since.is_some_and(|at| now.since(at) >= SILENCE_MIN);
+            *all_unanswered &= since.is_some_and(|at| now.since(at) >= UNANSWERED_TIME_MIN);
         }
         let reached = self.reachable_dcs(now);
-        let lost = by_dc
-            .into_iter()
-            .filter(|(_, (count, all_silent))| *all_silent && *count >= SILENT_SERVERS_MIN);
+        let lost = by_dc.into_iter().filter(|(_, (count, all_unanswered))| {
+            *all_unanswered && *count >= UNANSWERED_SERVERS_MIN
+        });
         let mut lost = lost.map(|(dc, _)| dc).filter(|dc| !reached.contains(*dc));
         lost.find(|dc| peers.any_reaches_all(now, &reached, dc))
             .cloned()
--- a/crates/chicoryrail-policy/src/admission/freshness.rs
+++ b/crates/chicoryrail-policy/src/admission/freshness.rs
@@ -10,10 +10,10 @@
 
 /// Moment at which a host's configuration was last known to be current.
 ///
-/// Guards against a host that is cut off and keeps accepting a revoked API key. A proof is dated at the moment at which
-/// its call was *sent*: the answer may have been delayed on its way, and a pending watch proves nothing. A change that
-/// this host has not received came after that moment. So a request that is read within the bound of that moment was
-/// also sent within the bound of the change.
+/// Guards against a host that is isolated and keeps accepting a revoked API key. A verification is dated at the moment
+/// at which its call was *sent*: the answer may have been delayed on its way, and a pending watch verifies nothing. A
+/// change that this host has not received came after that moment. So a request that is read within the bound of that
+/// moment was also sent within the bound of the change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Freshness {
     current_at: Option<Millis>,
@@ -25,7 +25,7 @@
         self.current_at = self.current_at.max(Some(at));
     }
 
-    /// Returns the age of the last proof; `None` if the configuration was never proved current.
+    /// Returns the age of the last verification; `None` if the configuration was never verified to be current.
     #[must_use]
     pub fn age(&self, now: Millis) -> Option<Millis> {
         self.current_at.map(|at| now.since(at))
--- a/crates/chicoryrail-policy/src/local/advertised_limit.rs
+++ b/crates/chicoryrail-policy/src/local/advertised_limit.rs
@@ -55,9 +55,9 @@
 
 impl AdvertisedLimit {
     /// Applies the rate that an answer advertises. Returns `true` if the limit changed.
-    pub fn record(&mut self, now: Millis, notice: AdvertisedRate) -> bool {
+    pub fn record(&mut self, now: Millis, advertised: AdvertisedRate) -> bool {
         let before = self.rate(now);
-        match notice {
+        match advertised {
             AdvertisedRate::Limited(rate) => {
                 self.rate = Some(rate);
                 self.seen_at = now;
--- a/crates/chicoryrail-policy/src/quota/quota_pool.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_pool.rs
@@ -95,7 +95,7 @@
         report: QuotaReport,
         params: &PoolParams,
     ) -> QuotaGrant {
-        self.expire_silent(now);
+        self.expire_unreported(now);
         self.apply_report(now, host, report, params);
         let in_window = self.free_in_window(now, params);
         let available = in_window.min(self.bucket.tokens);
@@ -147,10 +147,10 @@
     }
 
     /// Counts the tokens of hosts that no longer report as spent.
-    fn expire_silent(&mut self, now: Millis) {
-        let silent = self.leases.values_mut();
-        let silent = silent.filter(|l| now.since(l.reported_at) > REPORT_TIMEOUT);
-        let held = silent.map(|l| {
+    fn expire_unreported(&mut self, now: Millis) {
+        let overdue = self.leases.values_mut();
+        let overdue = overdue.filter(|l| now.since(l.reported_at) > REPORT_TIMEOUT);
+        let held = overdue.map(|l| {
             l.want = 0;
             std::mem::take(&mut l.held).max(0)
         });
--- a/crates/chicoryrail-policy/src/scheduler/remote_free_slots.rs
+++ b/crates/chicoryrail-policy/src/scheduler/remote_free_slots.rs
@@ -16,7 +16,7 @@
 ///
 /// Guards against requests that wait or are refused in one data centre while another has free slots. This occurs if
 /// callers are distributed over the data centres differently from the servers, or if a data centre's servers are lost
-/// or warming up. A data centre without a recent report gets no requests, so none is sent to one that is cut off.
+/// or warming up. A data centre without a recent report gets no requests, so none is sent to one that is isolated.
 #[derive(Clone, Debug, Default)]
 pub struct RemoteFreeSlots {
     by_dc: BTreeMap<DcName, FreeSlots>,
--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -41,7 +41,7 @@
 /// The feed of the key records.
 const KEY_RECORDS: Feed = Feed::Own(store_key::KEYS);
 
-/// Age of the leader's last heartbeat up to which this host relies on the leader's key view_changes.
+/// Age of the leader's last heartbeat up to which this host relies on the leader's key changes.
 const LEADER_TIMEOUT: Millis = Millis(1_000);
 
 /// All feeds whose changes every host must get at once: configuration, servers, leader and core hosts.
@@ -144,11 +144,11 @@
     }
     loop {
         let after = router.view.borrow().read_revision(feed).unwrap_or_default();
-        let returns = router.store_recovered.count();
+        let recoveries = router.store_recovered.count();
         let lost = router.store_lost.get();
         let watch = pin!(store.changes(&prefix, after, WATCH_MAX));
-        let returned = pin!(router.store_recovered.after(returns));
-        let changes = match select(watch, returned).await {
+        let recovered = pin!(router.store_recovered.after(recoveries));
+        let changes = match select(watch, recovered).await {
             Either::Left((changes, _)) => changes,
             // The watch was sent before an outage, so its connection may be dead.
             Either::Right(_) => return WatchEnd::Gap,
--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -53,8 +53,8 @@
         return error_answer(400, "the request can't be read");
     };
     if poll.leaf {
-        let mut leaves = router.leaf_requests.borrow_mut();
-        leaves.insert(poll.host.clone(), router.now());
+        let mut requests = router.leaf_requests.borrow_mut();
+        requests.insert(poll.host.clone(), router.now());
     }
     let received = router.now();
     let end = received + POLL_MAX;
@@ -109,6 +109,7 @@
     let now = router.now();
     let logs = router.feed_logs.borrow();
     let news = std::array::from_fn(|i| logs[i].since(poll.revisions[i]));
+    let recovered_at = router.view.borrow().recovered_at();
     let peers = router.peers.borrow();
     RelayReply {
         news,
@@ -119,11 +120,7 @@
         leader: peers.leader().cloned(),
         leader_ms: router.leader_age().map(|age| age.0),
         store: router.store_up.get(),
-        back_ms: router
-            .view
-            .borrow()
-            .recovered_at()
-            .map(|at| now.since(at).0),
+        back_ms: recovered_at.map(|at| now.since(at).0),
         config: config_age(router, now, received),
     }
 }
--- a/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
@@ -16,8 +16,8 @@
 
 /// Reads the operator's keys at intervals while this host watches the store for others.
 ///
-/// A watch without changes can't be told from one whose connection is dead, and a renewed lease shows nothing about
-/// other keys. Only a read verifies that the configuration is current, as of the time when the read was sent.
+/// A watch without changes can't be distinguished from one whose connection is dead, and a renewed lease shows nothing
+/// about other keys. Only a read verifies that the configuration is current, as of the time when the read was sent.
 pub(crate) async fn verify_config(router: Rc<Router>) {
     loop {
         let changed = router.source.changed.count();
--- a/crates/chicoryrail-router/src/control/gossip.rs
+++ b/crates/chicoryrail-router/src/control/gossip.rs
@@ -24,7 +24,7 @@
 use crate::messages::SlotReply;
 use crate::state::Router;
 
-/// Time between two heartbeats to each other host while nothing changes. A leader that was cut off from the store
+/// Time between two heartbeats to each other host while nothing changes. A leader that was isolated from the store
 /// learns of its successor within this time.
 const HEARTBEAT_INTERVAL: Millis = Millis(400);
 
@@ -244,10 +244,8 @@
         let leader = self.router.peers.borrow().leader_addr();
         let to = leader.as_ref().map_or(addrs, std::slice::from_ref);
         if !rates.is_empty() {
-            self.router
-                .peer_socket
-                .send_all(&Packet::Paces(rates), to)
-                .await;
+            let packet = Packet::Paces(rates);
+            self.router.peer_socket.send_all(&packet, to).await;
         }
     }
 
@@ -293,10 +291,8 @@
         }
         let blocked = update.blocked.into_iter();
         let blocked = blocked.map(|(first, last)| KeyRange { first, last });
-        service
-            .keys
-            .borrow_mut()
-            .apply_blocked(update.fence, blocked.collect());
+        let (keys, blocked) = (&service.keys, blocked.collect());
+        keys.borrow_mut().apply_blocked(update.fence, blocked);
         scheduling::redirect_moved_keys(&self.router, &service);
         service.changed.notify();
     }
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -54,11 +54,11 @@
             continue;
         }
         let mut wait = Millis(rand::rng().random_range(0..CAMPAIGN_JITTER.0));
-        let reaches = router.reach.borrow().reachable_dcs(router.now());
+        let reachable = router.reach.borrow().reachable_dcs(router.now());
         if router
             .peers
             .borrow()
-            .any_reaches_more(router.now(), &reaches)
+            .any_reaches_more(router.now(), &reachable)
         {
             wait = wait + FEWER_REACHED_DELAY;
         }
--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -197,11 +197,11 @@
         let now = self.router.now();
         let mut leases = self.leases.borrow_mut();
         let view = self.router.view.borrow();
-        let named: Vec<Life> = leases.lease_owners();
+        let owners: Vec<Life> = leases.lease_owners();
         for entry in view.servers().filter(|e| e.member.service == self.service) {
             let life = &entry.member.life;
             leases.set_server_addr(now, life, entry.member.addr);
-            for old in named.iter().filter(|old| life.succeeds(old)) {
+            for old in owners.iter().filter(|old| life.succeeds(old)) {
                 leases.server_ended(old);
             }
         }
@@ -253,8 +253,8 @@
                     handover,
                 } => {
                     self.leases.borrow_mut().grant_sent(now, &life, span);
-                    let hold = self.leases.borrow().lease_duration();
-                    let grant = key_grant(span, fence, hold, handover);
+                    let duration = self.leases.borrow().lease_duration();
+                    let grant = key_grant(span, fence, duration, handover);
                     monoio::spawn(Rc::clone(self).grant(life, addr, grant));
                 }
                 KeyAction::Release {
@@ -272,12 +272,12 @@
     }
 }
 
-fn key_grant(span: KeyRange, fence: u64, hold: Millis, handover: Option<String>) -> KeyGrant {
+fn key_grant(span: KeyRange, fence: u64, duration: Millis, handover: Option<String>) -> KeyGrant {
     KeyGrant {
         first: span.first,
         last: span.last,
         fence,
-        hold,
+        hold: duration,
         handover,
     }
 }
--- a/crates/chicoryrail-router/src/control/membership/source.rs
+++ b/crates/chicoryrail-router/src/control/membership/source.rs
@@ -60,13 +60,13 @@
 fn preferred_source(router: &Router, relay_timeout: Millis) -> Source {
     let now = router.now();
     let state = &router.source;
-    let Some(listed) = state.core_known_at.get() else {
+    let Some(core_known_at) = state.core_known_at.get() else {
         return Source::Unknown;
     };
     let peers = router.peers.borrow();
     let boot = router.boot();
     if state.core.get() {
-        if now.since(listed) < PEER_DISCOVERY_TIME {
+        if now.since(core_known_at) < PEER_DISCOVERY_TIME {
             return Source::Unknown;
         }
         if peers.should_watch(now, (&boot.host, &router.host_state())) {
@@ -75,7 +75,7 @@
         let watcher = peers.select_watcher(now, &boot.host, &boot.dc);
         return watcher.map_or(Source::Store, Source::Relay);
     }
-    if now.since(state.last_reply.get().max(listed)) > relay_timeout {
+    if now.since(state.last_reply.get().max(core_known_at)) > relay_timeout {
         return Source::Store;
     }
     let relay = peers.select_core_host(now, &boot.host, &boot.dc);
@@ -131,8 +131,8 @@
         Ok(all) => {
             record_store_call(router, "snapshot", None);
             apply_snapshot(router, LIVE, &all);
-            let listed = router.source.core_known_at.get().unwrap_or(router.now());
-            router.source.core_known_at.set(Some(listed));
+            let known_at = router.source.core_known_at.get().unwrap_or(router.now());
+            router.source.core_known_at.set(Some(known_at));
             true
         }
         Err(e) => {
--- a/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
@@ -54,8 +54,8 @@
     for service in router.services() {
         for target in service.targets.borrow().values() {
             if changed || target.scheduled_here.get().is_none() {
-                let ours = router.target_scheduler(&service, target) == SchedulerHost::Here;
-                target.scheduled_here.set(Some(ours));
+                let here = router.target_scheduler(&service, target) == SchedulerHost::Here;
+                target.scheduled_here.set(Some(here));
             }
         }
     }
--- a/crates/chicoryrail-router/src/control/scheduling/tokens.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/tokens.rs
@@ -11,7 +11,7 @@
 use crate::messages::SlotQuery;
 use crate::messages::SlotReply;
 use crate::state::Router;
-use crate::state::TokenAnswer;
+use crate::state::TokenOutcome;
 
 /// No token was available for a request.
 pub(super) struct NoToken;
@@ -40,9 +40,9 @@
         return Ok(None);
     };
     let reply = match router.quota.take(router, name, query.ticket) {
-        TokenAnswer::Taken => return Ok(Some(name.clone())),
-        TokenAnswer::Wait => SlotReply::Waits,
-        TokenAnswer::Refused(after) => {
+        TokenOutcome::Taken => return Ok(Some(name.clone())),
+        TokenOutcome::Wait => SlotReply::Waits,
+        TokenOutcome::Refused(after) => {
             record_refusal(router, query, name, after);
             SlotReply::OverQuota(after.0)
         }
--- a/crates/chicoryrail-router/src/lib.rs
+++ b/crates/chicoryrail-router/src/lib.rs
@@ -13,8 +13,8 @@
 //! ```
 //!
 //! [`run`] is the entry point of the process. The modules of `route/` serve requests, those of `state/` hold the shared
-//! state, those of `talk/` define the messages between hosts, and those of `control/` communicate with the store, the
-//! other hosts and the servers' control endpoints.
+//! state, those of `messages/` define the messages between hosts, and those of `control/` communicate with the store,
+//! the other hosts and the servers' control endpoints.
 
 mod control;
 mod log_line;
--- a/crates/chicoryrail-router/src/messages/packet.rs
+++ b/crates/chicoryrail-router/src/messages/packet.rs
@@ -28,7 +28,7 @@
     Paces(Vec<ServerPace>),
     /// Keys of recent requests, for the leader.
     KeyDemand(Vec<KeyDemand>),
-    /// Asks a scheduler for a slot at a server.
+    /// Queries a scheduler for a slot at a server.
     SlotQuery(SlotQuery),
     /// Decision of a scheduler on a slot query.
     SlotReply { ticket: u64, reply: SlotReply },
@@ -207,8 +207,8 @@
 }
 
 impl From<AdvertisedRate> for SaidRate {
-    fn from(notice: AdvertisedRate) -> Self {
-        match notice {
+    fn from(rate: AdvertisedRate) -> Self {
+        match rate {
             AdvertisedRate::Unlimited => Self::Unlimited,
             AdvertisedRate::Limited(rate) => Self::Limited(rate),
         }
--- a/crates/chicoryrail-router/src/messages/part.rs
+++ b/crates/chicoryrail-router/src/messages/part.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub(crate) struct PartName {
     pub(crate) service: ServiceName,
-    /// Data centre of the part's servers; `None` if the service is keyed or not divided.
+    /// Data centre of the part's servers; `None` if the service is keyed or not partitioned.
     pub(crate) dc: Option<DcName>,
 }
 
--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -38,9 +38,9 @@
 /// Longest time between two checks for a server, if no change notification arrives.
 const TARGET_POLL_INTERVAL: Millis = Millis(10);
 
-/// Multiple of the usual service time after which a request to a silent server is cancelled and sent to another one.
-/// It exceeds what a slow server with a slow neighbour takes, since cancelling a running request wastes its work.
-const SILENT_WORK_FACTOR: f64 = 8.0;
+/// Multiple of the usual service time after which a request to an unresponsive server is cancelled and sent to another
+/// one. It exceeds what a slow server with a slow neighbour takes, since cancelling a running request wastes its work.
+const UNRESPONSIVE_WORK_FACTOR: f64 = 8.0;
 
 /// The attempts to serve one request.
 struct Attempts<'a> {
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Returns how long to wait for the response to this attempt. An idempotent request without a key leaves a silent
-    /// server while there is time for another one, but not before twice the latency target.
+    /// Returns how long to wait for the response to this attempt. An idempotent request without a key leaves an
+    /// unresponsive server while there is time for another one, but not before twice the latency target.
     fn attempt_timeout(&self) -> Millis {
         let left = self.call.time_left(self.router.now());
         let has_alternative = self.call.is_idempotent()
@@ -199,8 +199,10 @@
         let work = self
             .router
             .expected_work_us(&self.call.route.name, self.call.route.aim);
-        let silence_max = Millis((work * SILENT_WORK_FACTOR / 1_000.0) as u64);
-        silence_max.max(self.call.route.aim.times(2)).min(left)
+        let response_time_max = Millis((work * UNRESPONSIVE_WORK_FACTOR / 1_000.0) as u64);
+        response_time_max
+            .max(self.call.route.aim.times(2))
+            .min(left)
     }
 
     /// Returns whether the request may be sent again. If the last send reached a server (`reached_server`), the next
--- a/crates/chicoryrail-router/src/route/slot_guard.rs
+++ b/crates/chicoryrail-router/src/route/slot_guard.rs
@@ -81,8 +81,8 @@
     }
 
     /// Records the rate limit that the server advertised.
-    pub(crate) fn record_rate(&self, notice: AdvertisedRate) {
-        self.rate.set(Some(notice));
+    pub(crate) fn record_rate(&self, advertised: AdvertisedRate) {
+        self.rate.set(Some(advertised));
     }
 
     /// Records how the send ended, after `elapsed_us` microseconds.
--- a/crates/chicoryrail-router/src/run.rs
+++ b/crates/chicoryrail-router/src/run.rs
@@ -126,8 +126,8 @@
         .map(|port| SocketAddr::new(boot.ip, port));
     log::info!(dc:% = boot.dc, callers:% = callers,
         store:% = boot.store.addr, pid = std::process::id(); "start");
-    let talk = PeerSocket::bind(peer_addr).context(SocketSnafu { addr: peer_addr })?;
-    let router = Router::new(boot, options, &talk);
+    let socket = PeerSocket::bind(peer_addr).context(SocketSnafu { addr: peer_addr })?;
+    let router = Router::new(boot, options, &socket);
     let stop = router.process.stop.clone();
     if let Err(e) = stop_on_signal(stop.clone()) {
         log::error!(error:% = e; "signals_not_caught");
@@ -148,7 +148,7 @@
     let pools = Rc::new(QuotaPools::default());
     let gossip = Gossip::new(&router, &leadership, &pools);
     let listening = Rc::clone(&gossip);
-    monoio::spawn(talk.listen(move |packet, from| listening.handle_packet(packet, from)));
+    monoio::spawn(socket.listen(move |packet, from| listening.handle_packet(packet, from)));
     monoio::spawn(scheduling::run_schedulers(Rc::clone(&router)));
     start_relay_listener(&router, peer_addr, &internal_stop)?;
     follow_feeds(&router);
@@ -223,16 +223,16 @@
 ) -> Result<(), RunError> {
     let listener = bind(flag, addr).context(ListenSnafu)?;
     let router = Rc::clone(router);
-    let answer = move |request: http::Request<chicoryrail_runtime::Body>, _| {
+    let respond = move |request: http::Request<chicoryrail_runtime::Body>, _| {
         let found = router.process.observe(&request);
-        let answer = found.unwrap_or_else(|| error_answer(404, "no such page"));
-        async move { answer }
+        let response = found.unwrap_or_else(|| error_answer(404, "no such page"));
+        async move { response }
     };
     monoio::spawn(serve_http(
         listener,
         HttpLimits::default(),
         stop.clone(),
-        answer,
+        respond,
     ));
     Ok(())
 }
@@ -245,9 +245,9 @@
 ) -> Result<(), RunError> {
     let listener = bind("relay", addr).context(ListenSnafu)?;
     let router = Rc::clone(router);
-    let answer = move |request, _| serve_relay(Rc::clone(&router), request);
+    let respond = move |request, _| serve_relay(Rc::clone(&router), request);
     let limits = HttpLimits::default();
-    monoio::spawn(serve_http(listener, limits, stop.clone(), answer));
+    monoio::spawn(serve_http(listener, limits, stop.clone(), respond));
     Ok(())
 }
 
--- a/crates/chicoryrail-router/src/state/apply.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -132,7 +132,7 @@
         let target = match old {
             Some(target) => Rc::clone(target),
             None => {
-                let Ok(header) = HeaderValue::from_str(member.life.name.as_str()) else {
+                let Ok(expect_header) = HeaderValue::from_str(member.life.name.as_str()) else {
                     log::warn!(server:% = member.life.name; "bad_server_name");
                     return;
                 };
@@ -142,7 +142,7 @@
                     addr: member.addr,
                     dc: member.dc.clone(),
                     first_seen: self.now(),
-                    expect_header: header,
+                    expect_header,
                     pool: ServerPool::default(),
                     warmup: RefCell::default(),
                     warmup_until: Cell::default(),
@@ -162,8 +162,8 @@
         let spec = view.site().and_then(|s| s.service(&service.name));
         service.keyed.set(spec.is_some_and(|s| s.keyed));
         let connections = spec.map_or(u32::MAX, |s| s.connections);
-        let part = connections / self.peers.borrow().sharing_hosts() as u32;
-        target.pool.set_cap(member.slots, part.max(2));
+        let share = connections / self.peers.borrow().sharing_hosts() as u32;
+        target.pool.set_cap(member.slots, share.max(2));
         let admission = if view.is_taken_out(&member.dc) {
             Admission::Closed
         } else if entry.is_ready() && entry.missing.is_none() {
--- a/crates/chicoryrail-router/src/state/mod.rs
+++ b/crates/chicoryrail-router/src/state/mod.rs
@@ -16,7 +16,7 @@
 pub(crate) use organisations::Organisations;
 pub(crate) use pending_queries::PendingQueries;
 pub(crate) use quota_shares::QuotaShares;
-pub(crate) use quota_shares::TokenAnswer;
+pub(crate) use quota_shares::TokenOutcome;
 pub(crate) use router::Router;
 pub(crate) use schedulers::QueryOrigin;
 pub(crate) use schedulers::Schedulers;
--- a/crates/chicoryrail-router/src/state/organisations.rs
+++ b/crates/chicoryrail-router/src/state/organisations.rs
@@ -23,7 +23,7 @@
     version: Cell<u64>,
     /// When the configuration was last verified to be current.
     freshness: Cell<Freshness>,
-    lone: RefCell<HashMap<OrganisationName, StandaloneShare>>,
+    standalone: RefCell<HashMap<OrganisationName, StandaloneShare>>,
 }
 
 impl Organisations {
@@ -34,7 +34,7 @@
             index: RefCell::default(),
             version: Cell::default(),
             freshness: Cell::default(),
-            lone: RefCell::default(),
+            standalone: RefCell::default(),
         }
     }
 
@@ -45,8 +45,8 @@
         }
         let organisations = site.organisations().unwrap_or_default();
         *self.index.borrow_mut() = ApiKeyIndex::new(self.secret, organisations);
-        let mut lone = self.lone.borrow_mut();
-        lone.retain(|name, _| site.organisation(name).is_some());
+        let mut standalone = self.standalone.borrow_mut();
+        standalone.retain(|name, _| site.organisation(name).is_some());
         true
     }
 
@@ -80,8 +80,8 @@
         limit: QuotaLimit,
         hosts: usize,
     ) -> Result<(), Millis> {
-        let mut lone = self.lone.borrow_mut();
-        let share = lone.entry(name.clone()).or_default();
+        let mut standalone = self.standalone.borrow_mut();
+        let share = standalone.entry(name.clone()).or_default();
         share.try_take(now, limit, hosts)
     }
 }
--- a/crates/chicoryrail-router/src/state/quota_shares.rs
+++ b/crates/chicoryrail-router/src/state/quota_shares.rs
@@ -29,7 +29,7 @@
 pub(crate) struct QuotaShares {
     shares: RefCell<BTreeMap<OrganisationName, Share>>,
     /// When the leader last answered a report; `None` if it has not since this process started.
-    answered: Cell<Option<Millis>>,
+    last_reply: Cell<Option<Millis>>,
     /// Notified when an organisation runs low on tokens.
     pub(crate) low_tokens: Signal,
     /// When each waiting request began to wait for a token, by ticket.
@@ -38,7 +38,7 @@
 
 /// Outcome of taking a token for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TokenAnswer {
+pub(crate) enum TokenOutcome {
     /// The request has a token.
     Taken,
     /// A token is expected within a moment; the request tries again.
@@ -104,11 +104,11 @@
         router: &Router,
         name: &OrganisationName,
         ticket: u64,
-    ) -> TokenAnswer {
+    ) -> TokenOutcome {
         let now = router.now();
         let mut shares = self.shares.borrow_mut();
         let Some(share) = shares.get_mut(name) else {
-            return TokenAnswer::Taken;
+            return TokenOutcome::Taken;
         };
         let params = self.params(router, share.limit);
         let taken = share.tokens.try_take(now, &params);
@@ -118,14 +118,14 @@
         match taken {
             Ok(()) => {
                 self.waiting.borrow_mut().remove(&ticket);
-                TokenAnswer::Taken
+                TokenOutcome::Taken
             }
             Err(_) if share.tokens.can_wait(&params) && self.record_wait(now, ticket) => {
-                TokenAnswer::Wait
+                TokenOutcome::Wait
             }
             Err(after) => {
                 self.waiting.borrow_mut().remove(&ticket);
-                TokenAnswer::Refused(after)
+                TokenOutcome::Refused(after)
             }
         }
     }
@@ -138,11 +138,11 @@
         now.since(since) < TOKEN_WAIT_MAX
     }
 
-    /// Returns whether this host is standalone: the leader has not answered for [`QUOTA_LEADER_TIMEOUT`], so that this host
-    /// spends its own share of each limit without grants.
+    /// Returns whether this host is standalone: the leader has not answered for [`QUOTA_LEADER_TIMEOUT`], so that this
+    /// host spends its own share of each limit without grants.
     pub(crate) fn is_standalone(&self, now: Millis) -> bool {
-        let answered = self.answered.get();
-        answered.is_none_or(|at| now.since(at) > QUOTA_LEADER_TIMEOUT)
+        let last_reply = self.last_reply.get();
+        last_reply.is_none_or(|at| now.since(at) > QUOTA_LEADER_TIMEOUT)
     }
 
     /// Returns the token of a request that did not run.
@@ -167,7 +167,7 @@
 
     /// Applies the grants that the leader sent.
     pub(crate) fn apply_grants(&self, now: Millis, grants: &[(OrganisationName, QuotaGrant)]) {
-        self.answered.set(Some(now));
+        self.last_reply.set(Some(now));
         let mut shares = self.shares.borrow_mut();
         for (name, grant) in grants {
             if let Some(share) = shares.get_mut(name) {
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -114,7 +114,7 @@
 
 impl Router {
     /// Creates the state of a process that has not read the store yet.
-    pub(crate) fn new(boot: Boot, options: Options, talk: &Rc<PeerSocket>) -> Rc<Self> {
+    pub(crate) fn new(boot: Boot, options: Options, peer_socket: &Rc<PeerSocket>) -> Rc<Self> {
         let process = Process::new();
         let limits = HttpLimits {
             connections: max_connections(&boot),
@@ -130,7 +130,7 @@
             limits: Rc::new(Cell::new(limits)),
             serving: Cell::new(0),
             store_up: Cell::new(false),
-            peer_socket: Rc::clone(talk),
+            peer_socket: Rc::clone(peer_socket),
             pending_queries: PendingQueries::default(),
             schedulers: Schedulers::default(),
             organisations: Organisations::new(),
@@ -233,9 +233,9 @@
     /// Returns the number of leaf hosts that use this one as relay.
     pub(crate) fn leaf_count(&self) -> u32 {
         let now = self.now();
-        let mut leaves = self.leaf_requests.borrow_mut();
-        leaves.retain(|_, last| now.since(*last) <= LEAF_TIMEOUT);
-        leaves.len() as u32
+        let mut requests = self.leaf_requests.borrow_mut();
+        requests.retain(|_, last| now.since(*last) <= LEAF_TIMEOUT);
+        requests.len() as u32
     }
 
     /// Returns the time since the last heartbeat of the leader: zero if this host leads, `None` if none was received.
@@ -287,9 +287,9 @@
     /// this one reaches.
     pub(crate) fn has_stronger_peer(&self) -> bool {
         let now = self.now();
-        let reaches = self.reach.borrow().reachable_dcs(now);
+        let reachable = self.reach.borrow().reachable_dcs(now);
         let peers = self.peers.borrow();
-        peers.has_stronger_peer(now, self.power(), &reaches)
+        peers.has_stronger_peer(now, self.power(), &reachable)
     }
 
     /// Returns the retry budget that all hosts share.
--- a/crates/chicoryrail-router/src/state/schedulers.rs
+++ b/crates/chicoryrail-router/src/state/schedulers.rs
@@ -35,19 +35,19 @@
     pub(crate) origins: RefCell<HashMap<u64, QueryOrigin>>,
     /// Data centres by their number.
     dcs: RefCell<Vec<DcName>>,
-    /// Free slots that the schedulers of divided services reported.
+    /// Free slots that the schedulers of partitioned services reported.
     free_slots: RefCell<BTreeMap<ServiceName, RemoteFreeSlots>>,
 }
 
 impl Schedulers {
     /// Records how many slots of a part are free.
-    pub(crate) fn record_free_slots(&self, now: Millis, room: &PartRoom) {
-        let Some(dc) = &room.part.dc else {
+    pub(crate) fn record_free_slots(&self, now: Millis, report: &PartRoom) {
+        let Some(dc) = &report.part.dc else {
             return;
         };
         let mut free_slots = self.free_slots.borrow_mut();
-        let service = free_slots.entry(room.part.service.clone()).or_default();
-        service.update(now, dc, room.free);
+        let service = free_slots.entry(report.part.service.clone()).or_default();
+        service.update(now, dc, report.free);
     }
 
     /// Takes a free slot of another part of the same service and returns the data centre of that part.
--- a/crates/chicoryrail-router/src/state/service.rs
+++ b/crates/chicoryrail-router/src/state/service.rs
@@ -69,9 +69,9 @@
     /// Records the key of a request for the report to the leader, which balances load by key. Keys beyond
     /// [`REPORTED_KEYS_MAX`] are dropped, which only makes the report less precise.
     pub(crate) fn record_key(&self, key: u16) {
-        let mut asked = self.requested_keys.borrow_mut();
-        if asked.len() < REPORTED_KEYS_MAX {
-            asked.push(key);
+        let mut keys = self.requested_keys.borrow_mut();
+        if keys.len() < REPORTED_KEYS_MAX {
+            keys.push(key);
         }
     }
 
@@ -96,7 +96,7 @@
             .set(!self.is_keyed() && dcs.len() > 1 && enough);
     }
 
-    /// Returns the parts of a divided service; empty if the service is not divided.
+    /// Returns the parts of a partitioned service; empty if the service is not partitioned.
     pub(crate) fn parts(&self) -> BTreeSet<PartName> {
         if !self.partitioned.get() {
             return BTreeSet::new();
--- a/crates/chicoryrail-router/src/state/target.rs
+++ b/crates/chicoryrail-router/src/state/target.rs
@@ -75,9 +75,9 @@
     }
 
     /// Records the rate limit that a response advertised, and logs it if it changed.
-    pub(crate) fn record_rate_limit(&self, now: Millis, notice: AdvertisedRate) {
+    pub(crate) fn record_rate_limit(&self, now: Millis, advertised: AdvertisedRate) {
         let mut limit = self.limit.get();
-        if limit.record(now, notice) {
+        if limit.record(now, advertised) {
             let from = self.limit.get().rate(now);
             log::info!(server:% = self.life, from:? = from, to:? = limit.rate(now); "server_limit");
         }
