--- a/crates/chicoryrail-policy/src/local/advertised_limit.rs
+++ b/crates/chicoryrail-policy/src/local/advertised_limit.rs
@@ -63,7 +63,7 @@
                 self.seen_at = now;
             }
             AdvertisedRate::Unlimited if now.since(self.seen_at) >= LIMIT_HOLD_TIME => {
-                self.rate = None
+                self.rate = None;
             }
             AdvertisedRate::Unlimited => {}
         }
