--- a/crates/chicoryrail-ownership/src/peers.rs
+++ b/crates/chicoryrail-ownership/src/peers.rs
@@ -272,7 +272,7 @@
             .any(|p| p.reachable_dcs.len() > own_dcs.len())
     }
 
-    /// Returns `true` if a much stronger host than one with `power` should lead: the store answers it and
+    /// Returns `true` if a host much more powerful than `power` should lead: the store answers it and
     /// it reaches all of `own_dcs`. A host that reaches fewer data centres would soon have to step down again.
     #[must_use]
     pub fn has_stronger_peer(&self, now: Millis, power: u32, own_dcs: &BTreeSet<DcName>) -> bool {
--- a/crates/chicoryrail-ownership/src/reach.rs
+++ b/crates/chicoryrail-ownership/src/reach.rs
@@ -8,48 +8,48 @@
 
 use crate::Peers;
 
-/// Maximum age of a server's last answer for its data centre to count as reached. Hosts of a usual size get
-/// an answer from each data centre several times within it.
-const ANSWER_AGE_MAX: Millis = Millis(600);
+/// Maximum age of a server's last response for its data centre to count as reached. Hosts of a usual size get
+/// a response from each data centre several times within it.
+const RESPONSE_AGE_MAX: Millis = Millis(600);
 
 /// Time for which all servers of a data centre must have left the leader's calls unanswered. Another host's last
-/// heartbeat may report answers from before a loss (up to 600 ms old, with 400 ms until its next
+/// heartbeat may report responses from before a loss (up to 600 ms old, with 400 ms until its next
 /// heartbeat). A longer time avoids mistaking a lost data centre for one that only this host can't reach.
 const UNANSWERED_TIME_MIN: Millis = Millis(1_000);
 
-/// Minimum number of servers that do not answer from which a data centre counts as unreachable; a single one
+/// Minimum number of servers that do not respond from which a data centre counts as unreachable; a single one
 /// may be faulty itself.
 const UNANSWERED_SERVERS_MIN: usize = 2;
 
-/// Time of the last answer from each data centre.
+/// Time of the last response from each data centre.
 #[derive(Clone, Debug, Default)]
 pub struct DcReachability {
-    last_answers: BTreeMap<DcName, Millis>,
+    last_responses: BTreeMap<DcName, Millis>,
 }
 
 impl DcReachability {
-    /// Records an answer from a server in `dc`.
-    pub fn record_answer(&mut self, now: Millis, dc: &DcName) {
-        match self.last_answers.get_mut(dc) {
+    /// Records a response from a server in `dc`.
+    pub fn record_response(&mut self, now: Millis, dc: &DcName) {
+        match self.last_responses.get_mut(dc) {
             Some(last) => *last = now,
             None => {
-                self.last_answers.insert(dc.clone(), now);
+                self.last_responses.insert(dc.clone(), now);
             }
         }
     }
 
-    /// Returns the data centres that answered within the last 600 ms.
+    /// Returns the data centres that responded within the last 600 ms.
     #[must_use]
     pub fn reachable_dcs(&self, now: Millis) -> BTreeSet<DcName> {
-        let recent = self.last_answers.iter();
-        let recent = recent.filter(|(_, at)| now.since(**at) <= ANSWER_AGE_MAX);
+        let recent = self.last_responses.iter();
+        let recent = recent.filter(|(_, at)| now.since(**at) <= RESPONSE_AGE_MAX);
         recent.map(|(dc, _)| dc.clone()).collect()
     }
 
     /// Returns a data centre that this leader can't reach but another host can, if that host also reaches
     /// all others that this one reaches. That host should lead.
     ///
-    /// `servers` are the servers with keys: the data centre of each, and since when it has not answered.
+    /// `servers` are the servers with keys: the data centre of each, and since when it has not responded.
     /// Packets between two data centres may pass in one direction only. A leader in one of them would
     /// consider the other's servers lost and reassign their keys, although callers elsewhere can reach
     /// them.
--- a/crates/chicoryrail-ownership/tests/reach.rs
+++ b/crates/chicoryrail-ownership/tests/reach.rs
@@ -35,7 +35,7 @@
     peers
 }
 
-/// The leader in west gets no answer from east's servers, since packets pass in one direction only. Guards
+/// The leader in west gets no response from east's servers, since packets pass in one direction only. Guards
 /// against it reassigning their keys although most callers reach them: a host in a third data centre that
 /// reaches all of them should lead.
 #[rstest]
@@ -53,9 +53,9 @@
     #[case] expected: bool,
 ) {
     let mut reach = DcReachability::default();
-    reach.record_answer(Millis(9_800), &"west".into());
-    reach.record_answer(Millis(9_700), &"north".into());
-    reach.record_answer(Millis(8_500), &"east".into());
+    reach.record_response(Millis(9_800), &"west".into());
+    reach.record_response(Millis(9_700), &"north".into());
+    reach.record_response(Millis(8_500), &"east".into());
     let (east, west) = (DcName::new("east"), DcName::new("west"));
     let since = Some(Millis(NOW.0 - silent_ms));
     let lost = std::iter::repeat_n((&east, since), servers);
@@ -68,7 +68,7 @@
 #[test]
 fn a_host_without_the_store_is_no_better_leader() {
     let mut reach = DcReachability::default();
-    reach.record_answer(Millis(9_800), &"west".into());
+    reach.record_response(Millis(9_800), &"west".into());
     let east = DcName::new("east");
     let since = Some(Millis(NOW.0 - 1_200));
     let all = [(&east, since), (&east, since)];
@@ -77,7 +77,7 @@
     assert_eq!((found(true), found(false)), (Some(east.clone()), None));
 }
 
-/// Guards against treating a data centre as unreachable while one of its servers answers.
+/// Guards against treating a data centre as unreachable while one of its servers responds.
 #[test]
 fn a_data_centre_with_one_answer_is_reached() {
     let reach = DcReachability::default();
--- a/crates/chicoryrail-policy/src/admission/freshness.rs
+++ b/crates/chicoryrail-policy/src/admission/freshness.rs
@@ -11,7 +11,7 @@
 /// Moment at which a host's configuration was last known to be current.
 ///
 /// Guards against a host that is isolated and keeps accepting a revoked API key. A verification is dated at the moment
-/// at which its call was *sent*: the answer may have been delayed on its way, and a pending watch verifies nothing. A
+/// at which its call was *sent*: the reply may have been delayed on its way, and a pending watch verifies nothing. A
 /// change that this host has not received came after that moment. So a request that is read within the bound of that
 /// moment was also sent within the bound of the change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/chicoryrail-policy/src/local/advertised_limit.rs
+++ b/crates/chicoryrail-policy/src/local/advertised_limit.rs
@@ -2,15 +2,15 @@
 
 use chicoryrail_core::Millis;
 
-/// Time after the last advertised limit during which answers without one don't remove it: answers to several hosts
-/// overtake each other, and not every answer must carry the limit.
+/// Time after the last advertised limit during which responses without one don't remove it: responses to several hosts
+/// overtake each other, and not every response must carry the limit.
 const LIMIT_HOLD_TIME: Millis = Millis(2_000);
 
 /// Time after which a limit that is not advertised again expires in any case. A host that sends the server no requests
-/// receives no answers from it.
+/// receives no responses from it.
 const LIMIT_EXPIRY_TIME: Millis = Millis(10_000);
 
-/// Rate that a server's answer advertises.
+/// Rate that a server's response advertises.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdvertisedRate {
     /// Any rate.
@@ -20,7 +20,7 @@
 }
 
 impl AdvertisedRate {
-    /// Parses the value of an answer's header; `None` stands for an answer without the header.
+    /// Parses the value of a response's header; `None` stands for a response without the header.
     ///
     /// # Errors
     ///
@@ -46,7 +46,7 @@
     }
 }
 
-/// Rate limit of a server, as advertised by its answers.
+/// Rate limit of a server, as advertised by its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AdvertisedLimit {
     rate: Option<f64>,
@@ -54,7 +54,7 @@
 }
 
 impl AdvertisedLimit {
-    /// Applies the rate that an answer advertises. Returns `true` if the limit changed.
+    /// Applies the rate that a response advertises. Returns `true` if the limit changed.
     pub fn record(&mut self, now: Millis, advertised: AdvertisedRate) -> bool {
         let before = self.rate(now);
         match advertised {
--- a/crates/chicoryrail-policy/src/local/load_report.rs
+++ b/crates/chicoryrail-policy/src/local/load_report.rs
@@ -1,6 +1,6 @@
 //! Load that a server reports.
 
-/// Load that a server reports with an answer.
+/// Load that a server reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
     /// Number of requests that it processes.
--- a/crates/chicoryrail-policy/src/local/local_balancer.rs
+++ b/crates/chicoryrail-policy/src/local/local_balancer.rs
@@ -21,7 +21,7 @@
 ///
 /// Guards against requests that wait behind slow servers and miss their latency target while others have free slots.
 /// Servers may be slow, busy with requests of other hosts, or fail a fraction of their requests. The selected server
-/// has the least expected time to a successful answer, by its slowness, the work queued in front of its slots and its
+/// has the least expected time to a successful response, by its slowness, the work queued in front of its slots and its
 /// failure rate.
 #[derive(Clone, Debug, Default)]
 pub struct LocalBalancer {
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Estimates the time to a successful answer of one more request, in microseconds.
+    /// Estimates the time to a successful response of one more request, in microseconds.
     fn cost(&self, now: Millis, server: ServerId, work_us: f64) -> f64 {
         let Some(view) = self.views.get(&server) else {
             return f64::INFINITY;
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Records how long an answer took; `had_slot` is `true` if the request found a free slot.
-    pub fn record_answer(
+    /// Records how long a response took; `had_slot` is `true` if the request found a free slot.
+    pub fn record_response(
         &mut self,
         now: Millis,
         server: ServerId,
@@ -120,7 +120,7 @@
         had_slot: bool,
     ) {
         if let Some(view) = self.views.get_mut(&server) {
-            view.record_answer(now, elapsed_us, work_us, had_slot);
+            view.record_response(now, elapsed_us, work_us, had_slot);
         }
     }
 
--- a/crates/chicoryrail-policy/src/local/mod.rs
+++ b/crates/chicoryrail-policy/src/local/mod.rs
@@ -1,7 +1,7 @@
 //! Load balancing over servers that many hosts send to without coordination.
 //!
 //! A host knows its own requests in flight exactly, and learns of those of other hosts from the load that a server
-//! reports with each answer. [`LocalBalancer`] selects among the servers of a service; [`WarmupPacer`] and
+//! reports with each response. [`LocalBalancer`] selects among the servers of a service; [`WarmupPacer`] and
 //! [`RetryBudget`] limit a host to its share of a bound that holds over all hosts together.
 
 mod advertised_limit;
--- a/crates/chicoryrail-policy/src/local/server_view.rs
+++ b/crates/chicoryrail-policy/src/local/server_view.rs
@@ -4,7 +4,7 @@
 
 use crate::LoadReport;
 
-/// Failure of a send without a usable answer.
+/// Failure of a send without a usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The server had no capacity and did not run the request.
@@ -13,7 +13,7 @@
     Broken,
     /// The server responded with a server error.
     Error,
-    /// No answer arrived in time.
+    /// No response arrived in time.
     Silent,
 }
 
@@ -100,9 +100,9 @@
         self.reported_at = now;
     }
 
-    /// Records that an answer took `elapsed_us` where a usual server takes `usual_us`. `had_slot` is `true` if the
+    /// Records that a response took `elapsed_us` where a usual server takes `usual_us`. `had_slot` is `true` if the
     /// request found a free slot.
-    pub(crate) fn record_answer(
+    pub(crate) fn record_response(
         &mut self,
         now: Millis,
         elapsed_us: f64,
--- a/crates/chicoryrail-policy/src/quota/quota_pool.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_pool.rs
@@ -215,7 +215,7 @@
         let share = params.tolerance.window_limit(params.limit) / params.schedulers.max(1) as f64;
         let admitted = share * unobserved.0 as f64 / window.0.max(1) as f64;
         // Tokens that the host still holds were not spent, although the window assumes that all tokens were. The host
-        // repeats its report until it receives an answer, so they are subtracted only once.
+        // repeats its report until it receives a reply, so they are subtracted only once.
         let unspent = match self.leases.contains_key(host) {
             true => 0.0,
             false => report.held.max(0) as f64,
--- a/crates/chicoryrail-policy/src/quota/quota_share.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_share.rs
@@ -9,7 +9,7 @@
 use crate::quota::token_bucket::TokenBucket;
 use crate::quota::token_bucket::time_to_refill;
 
-/// Time without an answer from the leader after which a host spends its own share of each limit. The leader uses the
+/// Time without a reply from the leader after which a host spends its own share of each limit. The leader uses the
 /// same time.
 pub const QUOTA_LEADER_TIMEOUT: Millis = Millis(500);
 
@@ -63,7 +63,7 @@
     pub limit: QuotaLimit,
     /// Number of schedulers.
     pub schedulers: usize,
-    /// Whether the leader has not answered for so long that it counts this host as standalone.
+    /// Whether the leader has not replied for so long that it counts this host as standalone.
     pub standalone: bool,
     /// Tolerance by which the limit may be exceeded.
     pub tolerance: QuotaTolerance,
@@ -80,7 +80,7 @@
 /// Several schedulers receive requests of one organisation at once. This guards against a request within the limit that
 /// waits for a token, or is refused while others have unused tokens, and against admitting more than the limit in
 /// total. Tokens are leased ahead of the observed demand, a few requests are admitted before their tokens arrive, and a
-/// host without an answer from the leader spends a fixed share of the rate.
+/// host without a reply from the leader spends a fixed share of the rate.
 #[derive(Clone, Debug)]
 pub struct QuotaShare {
     term: u64,
@@ -88,10 +88,10 @@
     returned: u64,
     spent: i64,
     held: i64,
-    /// Tokens that accumulate while the leader does not answer.
+    /// Tokens that accumulate while the leader does not reply.
     standalone_tokens: TokenBucket,
     was_standalone: bool,
-    /// Whether the limit was reached at the leader's last answer.
+    /// Whether the limit was reached at the leader's last reply.
     exhausted: bool,
     /// Requests for a token since the last report.
     requested: u32,
--- a/crates/chicoryrail-policy/src/scheduler/load_view.rs
+++ b/crates/chicoryrail-policy/src/scheduler/load_view.rs
@@ -13,8 +13,8 @@
 /// for. It is small against the differences between servers, so it decides only between similar ones.
 const REMOTE_COST: f64 = 0.1;
 
-/// The same cost for a request with a large answer. Traffic between data centres is expensive, so such a request waits
-/// for a server in its own data centre as long as the work itself takes, which is well within its latency target.
+/// The same cost for a request with a large response. Traffic between data centres is expensive, so such a request
+/// waits for a server in its own data centre as long as the work itself takes, which is well within its latency target.
 const REMOTE_DOWNLOAD_COST: f64 = 1.0;
 
 /// Load of all servers of a scheduler at one moment, computed once for a whole queue.
@@ -30,8 +30,8 @@
     /// Capacity of all servers, and of those without a free slot, in usual slots.
     capacity: f64,
     full_capacity: f64,
-    /// Cache of the earliest answer of any server by the work of a request. Sending a request invalidates it.
-    answer_cache: RefCell<Vec<(u64, f64)>>,
+    /// Cache of the earliest response of any server by the work of a request. Sending a request invalidates it.
+    response_cache: RefCell<Vec<(u64, f64)>>,
 }
 
 /// Load of one server at one moment.
@@ -42,7 +42,7 @@
     free_in_us: f64,
     has_slot: bool,
     warming_up: bool,
-    /// Expected number of tries until a successful answer, squared: a failure costs the caller more than the time.
+    /// Expected number of tries until a successful response, squared: a failure costs the caller more than the time.
     retry_factor: f64,
     /// Cost of its filled slots, as a fraction of the work.
     fill_cost: f64,
@@ -64,7 +64,7 @@
             free_servers: 0,
             capacity: 0.0,
             full_capacity: 0.0,
-            answer_cache: RefCell::default(),
+            response_cache: RefCell::default(),
         };
         view.capacity = view.servers.iter().map(|g| g.capacity).sum();
         view.recount();
@@ -75,7 +75,7 @@
         let full = self.servers.iter().filter(|g| !g.has_slot);
         self.full_capacity = full.map(|g| g.capacity).sum();
         self.free_servers = self.servers.iter().filter(|g| g.has_slot).count();
-        self.answer_cache.borrow_mut().clear();
+        self.response_cache.borrow_mut().clear();
     }
 
     /// Updates the load of a server after a request was sent to it.
@@ -136,7 +136,7 @@
 
     /// Estimates the time until a request is answered, in microseconds, behind `ahead_us` microseconds of work. Returns
     /// `None` if no server can take it.
-    pub(crate) fn answer_in_us(
+    pub(crate) fn response_in_us(
         &self,
         request: &SlotRequest,
         placement: Placement,
@@ -145,7 +145,7 @@
         if let Placement::Owner(owner) = placement {
             let load = self.server(owner)?;
             return Some(
-                load.answer_in_us(request.work_us) + ahead_us / load.capacity.max(CAPACITY_MIN),
+                load.response_in_us(request.work_us) + ahead_us / load.capacity.max(CAPACITY_MIN),
             );
         }
         // The next owner of a moving key is assumed to be about as fast as any server.
@@ -155,21 +155,21 @@
         };
         if !excluded.is_empty() {
             let eligible = self.servers.iter().filter(|g| !excluded.contains(&g.id));
-            let earliest = eligible.clone().map(|g| g.answer_in_us(request.work_us));
+            let earliest = eligible.clone().map(|g| g.response_in_us(request.work_us));
             let earliest = earliest.reduce(f64::min)?;
             let capacity: f64 = eligible.map(|g| g.capacity).sum();
             return Some(earliest + ahead_us / capacity.max(CAPACITY_MIN));
         }
-        Some(self.earliest_answer(request.work_us)? + ahead_us / self.capacity.max(CAPACITY_MIN))
+        Some(self.earliest_response(request.work_us)? + ahead_us / self.capacity.max(CAPACITY_MIN))
     }
 
-    fn earliest_answer(&self, work_us: f64) -> Option<f64> {
-        let mut cached = self.answer_cache.borrow_mut();
+    fn earliest_response(&self, work_us: f64) -> Option<f64> {
+        let mut cached = self.response_cache.borrow_mut();
         let bits = work_us.to_bits();
         if let Some((_, earliest)) = cached.iter().find(|(work, _)| *work == bits) {
             return Some(*earliest);
         }
-        let earliest = self.servers.iter().map(|g| g.answer_in_us(work_us));
+        let earliest = self.servers.iter().map(|g| g.response_in_us(work_us));
         let earliest = earliest.reduce(f64::min)?;
         cached.push((bits, earliest));
         Some(earliest)
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Estimates the time to a successful answer at a free server, in microseconds.
+    /// Estimates the time to a successful response at a free server, in microseconds.
     fn cost(&self, request: &SlotRequest) -> f64 {
         let remote_cost = match (self.dc == request.dc_index, request.large_response) {
             (true, _) => 0.0,
@@ -208,7 +208,7 @@
         request.work_us * self.slowness * (1.0 + self.fill_cost + remote_cost) * self.retry_factor
     }
 
-    fn answer_in_us(&self, work_us: f64) -> f64 {
+    fn response_in_us(&self, work_us: f64) -> f64 {
         self.free_in_us + work_us * self.slowness
     }
 }
--- a/crates/chicoryrail-policy/src/scheduler/rate_bucket.rs
+++ b/crates/chicoryrail-policy/src/scheduler/rate_bucket.rs
@@ -6,7 +6,7 @@
 /// least one token, so that a request may always be sent when its token is due.
 const BURST_TIME_MS: f64 = 250.0;
 
-/// Lowest rate that is applied. A server that receives no request at all has no answer in which to raise its rate.
+/// Lowest rate that is applied. A server that receives no request at all has no response in which to raise its rate.
 const REQUESTS_PER_S_MIN: f64 = 0.25;
 
 /// Token bucket of a server with a rate limit.
--- a/crates/chicoryrail-policy/src/scheduler/scheduler.rs
+++ b/crates/chicoryrail-policy/src/scheduler/scheduler.rs
@@ -235,7 +235,7 @@
     /// Sorts the queue; see [`Scheduler`].
     fn sort_queue(&mut self, now: Millis, view: &LoadView) {
         let key = |w: &WaitingRequest| {
-            let earliest = view.answer_in_us(&w.request, w.placement, 0.0);
+            let earliest = view.response_in_us(&w.request, w.placement, 0.0);
             let in_time = earliest.is_some_and(|us| now + millis(us) <= w.request.latency_target);
             if in_time {
                 (0, w.request.priority, w.request.latency_target)
@@ -260,23 +260,23 @@
     ) -> Result<(), Millis> {
         let request = &waiting.request;
         let left_us = request.deadline.since(now).0 as f64 * 1_000.0;
-        let Some(answer_us) = view.answer_in_us(request, waiting.placement, ahead_us) else {
+        let Some(response_us) = view.response_in_us(request, waiting.placement, ahead_us) else {
             return Err(millis(request.work_us));
         };
         // In a standing queue, requests that can still meet their latency target overtake those that can't, so the
         // latter would wait in vain. They are refused at once.
         let latency_left = request.latency_target.since(now).0 as f64 * 1_000.0;
-        if answer_us > latency_left && self.has_standing_queue(now, waiting.placement) {
+        if response_us > latency_left && self.has_standing_queue(now, waiting.placement) {
             return Err(millis(
-                (answer_us - latency_left).max(request.work_us * 0.5),
+                (response_us - latency_left).max(request.work_us * 0.5),
             ));
         }
         let total = request.deadline.since(waiting.since).0 as f64;
         let waited = now.since(waiting.since).0 as f64;
-        if answer_us <= left_us && waited <= total * WAIT_TIME_FRACTION {
+        if response_us <= left_us && waited <= total * WAIT_TIME_FRACTION {
             return Ok(());
         }
-        Err(millis((answer_us - left_us).max(request.work_us * 0.5)))
+        Err(millis((response_us - left_us).max(request.work_us * 0.5)))
     }
 }
 
--- a/crates/chicoryrail-policy/src/scheduler/server_slots.rs
+++ b/crates/chicoryrail-policy/src/scheduler/server_slots.rs
@@ -244,7 +244,7 @@
         &mut self,
         now: Millis,
         ticket: u64,
-        answer_us: Option<f64>,
+        response_us: Option<f64>,
         failure: Option<Failure>,
         report: Option<LoadReport>,
     ) {
@@ -255,9 +255,9 @@
         match (failure, in_flight) {
             (Some(failure), _) => self.view.record_failure(now, failure),
             (None, Some(in_flight)) => {
-                if let Some(answer_us) = answer_us {
+                if let Some(response_us) = response_us {
                     self.view
-                        .record_answer(now, answer_us, in_flight.work_us, true);
+                        .record_response(now, response_us, in_flight.work_us, true);
                 }
             }
             (None, None) => {}
--- a/crates/chicoryrail-policy/src/scheduler/slot_request.rs
+++ b/crates/chicoryrail-policy/src/scheduler/slot_request.rs
@@ -13,7 +13,7 @@
     pub ticket: u64,
     /// Priority if there is not enough capacity for all requests; 0 goes first.
     pub priority: u8,
-    /// Latency target: the moment until which an answer has its full value to the caller.
+    /// Latency target: the moment until which a response has its full value to the caller.
     pub latency_target: Millis,
     /// Moment at which the caller cancels.
     pub deadline: Millis,
@@ -25,7 +25,7 @@
     pub excluded: Vec<ServerId>,
     /// Index of the querying host's data centre.
     pub dc_index: u32,
-    /// Whether its answer is large.
+    /// Whether its response is large.
     pub large_response: bool,
 }
 
@@ -57,10 +57,10 @@
     pub ticket: u64,
     /// Server that had the request.
     pub server: ServerId,
-    /// Time from the send to the answer, in microseconds; `None` if the caller cancelled before.
+    /// Time from the send to the response, in microseconds; `None` if the caller cancelled before.
     pub elapsed_us: Option<f64>,
-    /// Failure of the send; `None` for an answer.
+    /// Failure of the send; `None` for a response.
     pub failure: Option<Failure>,
-    /// Load that the server reported with its answer.
+    /// Load that the server reported with its response.
     pub report: Option<LoadReport>,
 }
--- a/crates/chicoryrail-policy/tests/admission.rs
+++ b/crates/chicoryrail-policy/tests/admission.rs
@@ -46,7 +46,7 @@
     let mut freshness = Freshness::default();
     assert!(!freshness.is_fresh(Millis(now), Millis(5_000)));
     freshness.mark_current(Millis(1_000));
-    // An answer that was delayed for long proves less than one that arrived before it.
+    // A reply that was delayed for long proves less than one that arrived before it.
     freshness.mark_current(Millis(400));
     assert_eq!(freshness.is_fresh(Millis(now), Millis(5_000)), is_fresh);
 }
--- a/crates/chicoryrail-policy/tests/limited_servers.rs
+++ b/crates/chicoryrail-policy/tests/limited_servers.rs
@@ -118,16 +118,17 @@
     for turn in 0..10 {
         let now = turn * 1_000;
         let [a, b] = &mut schedulers;
-        let (ours, other) = if turn % 2 == 0 { (a, b) } else { (b, a) };
-        ours.update_server(Millis(now), ServerId(0), limited(true));
+        let (active, other) = if turn % 2 == 0 { (a, b) } else { (b, a) };
+        active.update_server(Millis(now), ServerId(0), limited(true));
         other.update_server(Millis(now), ServerId(0), limited(false));
-        sent.extend(overload_limited(ours, now, 1).0);
+        sent.extend(overload_limited(active, now, 1).0);
     }
     let most = most_in_four_seconds(&sent);
     assert!(most <= 4 * LIMIT_PER_S as usize + 1, "{most}");
 }
 
-/// Guards against a server with a limit of zero that gets no request, and so has no answer in which to raise the limit.
+/// Guards against a server with a limit of zero that gets no request, and so has no response in which to raise the
+/// limit.
 #[test]
 fn a_server_with_a_limit_of_zero_is_probed() {
     let mut scheduler = scheduler(1);
--- a/crates/chicoryrail-policy/tests/quota.rs
+++ b/crates/chicoryrail-policy/tests/quota.rs
@@ -349,7 +349,7 @@
     );
 }
 
-/// Guards against tokens that are subtracted from a new leader's window with each report that gets no answer.
+/// Guards against tokens that are subtracted from a new leader's window with each report that gets no reply.
 #[test]
 fn unanswered_reports_free_no_tokens() {
     let limit = QuotaLimit {
--- a/crates/chicoryrail-policy/tests/scheduler.rs
+++ b/crates/chicoryrail-policy/tests/scheduler.rs
@@ -116,8 +116,8 @@
     outcomes
 }
 
-/// Guards against late answers at 60 % of the capacity of four servers of different slowness: nearly all requests meet
-/// the latency target and none is refused.
+/// Guards against late responses at 60 % of the capacity of four servers of different slowness: nearly all requests
+/// meet the latency target and none is refused.
 #[rstest]
 #[case(1)]
 #[case(2)]
--- a/crates/chicoryrail-policy/tests/shared.rs
+++ b/crates/chicoryrail-policy/tests/shared.rs
@@ -177,8 +177,8 @@
     assert!((400..600).contains(&early), "{early}");
 }
 
-/// Guards against answers in the wrong order: one that the server sent before it advertised its limit arrives later and
-/// must not remove the limit.
+/// Guards against responses in the wrong order: one that the server sent before it advertised its limit arrives later
+/// and must not remove the limit.
 #[rstest]
 #[case::advertised_and_removed(&[(0, Some(2.0)), (2_100, None)], 2_100, None)]
 #[case::overtaken(&[(0, Some(2.0)), (100, None)], 100, Some(2.0))]
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -139,7 +139,7 @@
         None => {
             let work = router.expected_work_us(&call.route.name, call.route.aim);
             if matches!(sent, SendOutcome::Answered(_)) {
-                loads.record_answer(now, target.id, elapsed_us, work, idle);
+                loads.record_response(now, target.id, elapsed_us, work, idle);
                 router.record_work(&call.route.name, call.route.aim, elapsed_us);
             }
         }
@@ -201,7 +201,7 @@
     router
         .reach
         .borrow_mut()
-        .record_answer(router.now(), &in_flight.target.dc);
+        .record_response(router.now(), &in_flight.target.dc);
     record_report(router, service, &in_flight, &head.headers);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         drain(body, in_flight).await;
--- a/crates/chicoryrail-router/src/state/quota_shares.rs
+++ b/crates/chicoryrail-router/src/state/quota_shares.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct QuotaShares {
     shares: RefCell<BTreeMap<OrganisationName, Share>>,
-    /// When the leader last answered a report; `None` if it has not since this process started.
+    /// When the leader last replied to a report; `None` if it has not since this process started.
     last_reply: Cell<Option<Millis>>,
     /// Notified when an organisation runs low on tokens.
     pub(crate) low_tokens: Signal,
@@ -138,7 +138,7 @@
         now.since(since) < TOKEN_WAIT_MAX
     }
 
-    /// Returns whether this host is standalone: the leader has not answered for [`QUOTA_LEADER_TIMEOUT`], so that this
+    /// Returns whether this host is standalone: the leader has not replied for [`QUOTA_LEADER_TIMEOUT`], so that this
     /// host spends its own share of each limit without grants.
     pub(crate) fn is_standalone(&self, now: Millis) -> bool {
         let last_reply = self.last_reply.get();
--- a/crates/chicoryrail-router/tests/bad_input.rs
+++ b/crates/chicoryrail-router/tests/bad_input.rs
@@ -300,7 +300,7 @@
         let mut fixture = Fixture::start("datagrams").await;
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
         for input in generate_inputs(300, &vec(any::<u8>(), 0..1_200)) {
-            socket.send_to(&input, fixture.router.talk).unwrap();
+            socket.send_to(&input, fixture.router.peer_addr).unwrap();
         }
         fixture.assert_healthy().await;
     });
@@ -319,12 +319,12 @@
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
         for kind in 0..8 {
             let input = [&[kind][..], &MAX_LENGTH_PREFIX].concat();
-            socket.send_to(&input, fixture.router.talk).unwrap();
+            socket.send_to(&input, fixture.router.peer_addr).unwrap();
         }
         let client = HttpClient::default();
         for body in [&MAX_LENGTH_PREFIX[..], b"", b"no request"] {
             let request = Request::post("/relay").body(Bytes::copy_from_slice(body));
-            let call = client.call(fixture.router.talk, request.unwrap(), Millis(2_000));
+            let call = client.call(fixture.router.peer_addr, request.unwrap(), Millis(2_000));
             let response = call.await;
             assert_eq!(response.unwrap().status(), 400);
         }
--- a/crates/chicoryrail-router/tests/leaf_hosts.rs
+++ b/crates/chicoryrail-router/tests/leaf_hosts.rs
@@ -46,7 +46,7 @@
         let log = self.leaf.log();
         let mut lines = log.lines().filter(|l| l.contains("log=source"));
         let last = lines.next_back().unwrap();
-        let named = |r: &&RouterProcess| last.contains(&format!("Relay({})", r.talk));
+        let named = |r: &&RouterProcess| last.contains(&format!("Relay({})", r.peer_addr));
         self.core.iter().find(named).unwrap()
     }
 
--- a/crates/chicoryrail-router/tests/slow_links.rs
+++ b/crates/chicoryrail-router/tests/slow_links.rs
@@ -73,7 +73,7 @@
         let mut net = Net::start(1);
         let mut links = Vec::new();
         for (name, host) in ["a", "b", "c"].into_iter().zip(&core) {
-            let link = slow_link(&mut net, host.talk, RELAY_LINK_RATE);
+            let link = slow_link(&mut net, host.peer_addr, RELAY_LINK_RATE);
             let listed = CoreHost {
                 addr: link.addr(),
                 power: 500,
--- a/crates/chicoryrail-router/tests/support/world.rs
+++ b/crates/chicoryrail-router/tests/support/world.rs
@@ -244,15 +244,15 @@
     }
 
     fn spawn_at(&self, name: &str, core: &str, store: SocketAddr) -> RouterProcess {
-        let [callers, readiness, talk] = [(); 3].map(|()| free_port().unwrap());
+        let [callers, readiness, peer_addr] = [(); 3].map(|()| free_port().unwrap());
         let boot = self.dir.join(format!("{name}.toml"));
         let text = include_str!("boot.toml")
             .replace("NAME", name)
             .replace("CORE", core)
             .replace("CALLERS", &callers.to_string())
             .replace("READINESS", &readiness.to_string())
-            .replace("TALK", &talk.port().to_string())
-            .replace("HOST", &talk.ip().to_string())
+            .replace("TALK", &peer_addr.port().to_string())
+            .replace("HOST", &peer_addr.ip().to_string())
             .replace("STORE", &store.to_string());
         std::fs::write(&boot, text).unwrap();
         let log = std::fs::File::create(self.dir.join(format!("{name}.log"))).unwrap();
@@ -267,7 +267,7 @@
         RouterProcess {
             callers,
             readiness,
-            talk,
+            peer_addr,
             child,
             log: self.dir.join(format!("{name}.log")),
             next: Cell::new(0),
@@ -280,7 +280,7 @@
 pub struct RouterProcess {
     pub callers: SocketAddr,
     pub readiness: SocketAddr,
-    pub talk: SocketAddr,
+    pub peer_addr: SocketAddr,
     child: Child,
     log: PathBuf,
     next: Cell<u32>,
