--- a/crates/chicoryrail-policy/tests/scheduler_callers.rs
+++ b/crates/chicoryrail-policy/tests/scheduler_callers.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    fn ask(&mut self, key: u16) {
+    fn enqueue(&mut self, key: u16) {
         let request = SlotRequest {
             ticket: self.next_ticket,
             priority: 1,
@@ -136,11 +136,11 @@
     for _ in 0..10_000 {
         if rng.random_bool(75.0 / 1_000.0) {
             hot.sent += 1;
-            sim.ask(0);
+            sim.enqueue(0);
         }
         if rng.random_bool(45.0 / 1_000.0) {
             others.sent += 1;
-            sim.ask(rng.random_range(1..SERVERS as u16));
+            sim.enqueue(rng.random_range(1..SERVERS as u16));
         }
         for (key, arrived_at, served) in sim.step() {
             let outcomes = if key == 0 { &mut hot } else { &mut others };
@@ -165,12 +165,12 @@
         let mut outcomes = Outcomes::default();
         for _ in 0..10_000 {
             if rng.random_bool(120.0 / 1_000.0) {
-                sim.ask(rng.random_range(0..SERVERS as u16));
+                sim.enqueue(rng.random_range(0..SERVERS as u16));
             }
             for (key, arrived_at, served) in sim.step() {
                 sim.count(&mut outcomes, arrived_at, served);
                 if !served && rng.random_bool(retry_chance) {
-                    sim.ask(key);
+                    sim.enqueue(key);
                 }
             }
         }
--- a/crates/chicoryrail-policy/tests/scheduler_size.rs
+++ b/crates/chicoryrail-policy/tests/scheduler_size.rs
@@ -57,13 +57,13 @@
     };
     // All slots are taken first; then a queue builds up.
     for _ in 0..u64::from(SERVERS) * 2 + QUEUE_LENGTH {
-        sim.ask(0);
+        sim.enqueue(0);
     }
     sim.place = place;
     let started = Instant::now();
     for message in 0..MESSAGES / 2 {
         let now = message / 10;
-        sim.ask(now);
+        sim.enqueue(now);
         sim.end(now, message % u64::from(SERVERS * 2));
         sim.trim_queue();
     }
@@ -79,7 +79,7 @@
 }
 
 impl Simulation {
-    fn ask(&mut self, now: u64) {
+    fn enqueue(&mut self, now: u64) {
         let ticket = self.assigned.len() as u64;
         self.assigned.push(None);
         self.scheduler.enqueue(Millis(now), request(ticket, now));
--- a/crates/chicoryrail-router/tests/keys.rs
+++ b/crates/chicoryrail-router/tests/keys.rs
@@ -54,9 +54,9 @@
         for key in KEYS {
             let mut names = Vec::new();
             for router in &routers {
-                let answer = router.caller().key(key).await.unwrap();
-                assert_eq!(answer.status(), 200, "key {key}");
-                names.push(answer.headers()[call_header::SERVER].clone());
+                let response = router.caller().key(key).await.unwrap();
+                assert_eq!(response.status(), 200, "key {key}");
+                names.push(response.headers()[call_header::SERVER].clone());
             }
             assert_eq!(names[0], names[1], "key {key}");
             assert_eq!(held(key), 1);
--- a/crates/chicoryrail-router/tests/leaf_hosts.rs
+++ b/crates/chicoryrail-router/tests/leaf_hosts.rs
@@ -59,8 +59,8 @@
         .await;
         let before = self.removed.executed();
         for _ in 0..10 {
-            let answer = self.leaf.caller().get("/read/1").await;
-            assert_eq!(answer.unwrap().status(), 200);
+            let response = self.leaf.caller().get("/read/1").await;
+            assert_eq!(response.unwrap().status(), 200);
         }
         assert_eq!(self.removed.executed(), before);
         assert!(self.staying.executed() >= 10);
@@ -75,8 +75,8 @@
         let fleet = Fleet::start("leaf").await;
         fleet.world.server("k-1", "kits").await;
         wait_until("keys are granted", async || {
-            let answer = fleet.leaf.caller().key(7).await;
-            answer.is_ok_and(|a| a.status() == 200)
+            let response = fleet.leaf.caller().key(7).await;
+            response.is_ok_and(|a| a.status() == 200)
         })
         .await;
         fleet.remove_server().await;
--- a/crates/chicoryrail-router/tests/operator.rs
+++ b/crates/chicoryrail-router/tests/operator.rs
@@ -27,8 +27,8 @@
         let running = monoio::spawn(async move { (caller.get("/read/1").await, caller) });
         wait_until("the request runs", async || server.ledger().max_busy > 0).await;
         router.signal(Signal::SIGHUP);
-        let (answer, caller) = running.await;
-        assert_eq!(answer.unwrap().status(), 200);
+        let (response, caller) = running.await;
+        assert_eq!(response.unwrap().status(), 200);
         assert_eq!(caller.get("/read/2").await.unwrap().status(), 200);
         wait_until("the reload is logged", async || {
             router.log().contains("log=reload")
@@ -249,8 +249,8 @@
         servers.iter().for_each(|s| s.set_work(Millis(1_200)));
         router.signal(Signal::SIGTERM);
         monoio::time::sleep(Millis(50).duration()).await;
-        let answer = router.caller().get("/read/1").await.unwrap();
-        assert_eq!(answer.status(), 200);
+        let response = router.caller().get("/read/1").await.unwrap();
+        assert_eq!(response.status(), 200);
         let runs: usize = servers.iter().map(|s| s.executed()).sum();
         assert_eq!(runs, 1);
     });
--- a/crates/chicoryrail-router/tests/organisations.rs
+++ b/crates/chicoryrail-router/tests/organisations.rs
@@ -46,13 +46,13 @@
     }
     let request = request.body(Bytes::new()).unwrap();
     let client = HttpClient::default();
-    let answer = client.call(router.callers, request, Millis(5_000)).await;
-    answer.unwrap()
+    let response = client.call(router.callers, request, Millis(5_000)).await;
+    response.unwrap()
 }
 
 async fn status(router: &RouterProcess, path: &str, key: &str) -> u16 {
-    let answer = call(router, path, &[("Chicoryrail-Key", key)]).await;
-    answer.status().as_u16()
+    let response = call(router, path, &[("Chicoryrail-Key", key)]).await;
+    response.status().as_u16()
 }
 
 /// Guards against requests that run without exactly one valid key, against an organisation that the caller claims by a
@@ -76,10 +76,10 @@
         put_organisations(&world, two_organisations(), false).await;
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        let answer = call(&router, "/read/1", headers).await;
-        assert_eq!(answer.status(), expected);
+        let response = call(&router, "/read/1", headers).await;
+        assert_eq!(response.status(), expected);
         assert_eq!(
-            answer.headers().contains_key("www-authenticate"),
+            response.headers().contains_key("www-authenticate"),
             expected == 401
         );
         for run in server.ledger().runs {
@@ -154,9 +154,9 @@
         world.fault(&StoreFault::Silent { for_ms: 6_000 }).await;
         monoio::time::sleep(REVOCATION_TIME.duration()).await;
         for path in ["/order/1", "/manual/1"] {
-            let answer = call(&router, path, &[("Chicoryrail-Key", SHOP_KEY)]).await;
-            assert_eq!(answer.status(), 503);
-            assert!(answer.headers().contains_key("retry-after"));
+            let response = call(&router, path, &[("Chicoryrail-Key", SHOP_KEY)]).await;
+            assert_eq!(response.status(), 503);
+            assert!(response.headers().contains_key("retry-after"));
         }
         assert_eq!(
             status(&router, "/order/1", "other").await,
@@ -230,9 +230,9 @@
         monoio::time::sleep(Millis(1_500).duration()).await;
         let mut refused = 0;
         for _ in 0..150 {
-            let answer = call(&router, "/read/1", &[("Chicoryrail-Key", SCHOOL_KEY)]).await;
-            if answer.status() == 429 {
-                assert!(answer.headers().contains_key("retry-after"));
+            let response = call(&router, "/read/1", &[("Chicoryrail-Key", SCHOOL_KEY)]).await;
+            if response.status() == 429 {
+                assert!(response.headers().contains_key("retry-after"));
                 refused += 1;
             }
         }
--- a/crates/chicoryrail-router/tests/slow_links.rs
+++ b/crates/chicoryrail-router/tests/slow_links.rs
@@ -34,8 +34,8 @@
 
 async fn wait_until_serving(router: &RouterProcess) {
     wait_until("the configuration is in force", async || {
-        let answer = router.caller().get("/read/1").await;
-        answer.is_ok_and(|a| a.status() == 200)
+        let response = router.caller().get("/read/1").await;
+        response.is_ok_and(|a| a.status() == 200)
     })
     .await;
 }
--- a/crates/chicoryrail-router/tests/support/world.rs
+++ b/crates/chicoryrail-router/tests/support/world.rs
@@ -183,11 +183,11 @@
     pub async fn watch_requests(&self) -> u64 {
         let request = Request::get("/testkit/stats").body(Bytes::new()).unwrap();
         let client = HttpClient::default();
-        let answer = client
+        let response = client
             .call(self.store_addr, request, WAIT_TIMEOUT)
             .await
             .unwrap();
-        let stats: StoreStats = serde_json::from_slice(answer.body()).unwrap();
+        let stats: StoreStats = serde_json::from_slice(response.body()).unwrap();
         stats.watches
     }
 
@@ -301,8 +301,8 @@
     pub async fn is_ready(&self) -> bool {
         let request = Request::get("/-/readyz").body(Bytes::new()).unwrap();
         let client = HttpClient::default();
-        let answer = client.call(self.readiness, request, WAIT_TIMEOUT).await;
-        answer.is_ok_and(|a| a.status() == 200)
+        let response = client.call(self.readiness, request, WAIT_TIMEOUT).await;
+        response.is_ok_and(|a| a.status() == 200)
     }
 
     /// Returns the process id.
