--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -78,7 +78,7 @@
                         .view
                         .borrow_mut()
                         .replace(router.now(), KEY_RECORDS, &all);
-                router.apply_changes(&view_changes);
+                router.apply_view_changes(&view_changes);
             }
             Err(e) => record_store_call(&router, "records", Some(&e)),
         }
@@ -193,7 +193,7 @@
         return;
     }
     let view_changes = router.view.borrow_mut().replace(router.now(), feed, all);
-    router.apply_changes(&view_changes);
+    router.apply_view_changes(&view_changes);
     router.feed_changed.notify();
 }
 
@@ -212,7 +212,7 @@
         let fresh = fresh.into_iter();
         fresh.filter_map(|c| view.apply(now, c)).collect()
     };
-    router.apply_changes(&view_changes);
+    router.apply_view_changes(&view_changes);
     router.feed_changed.notify();
     !view_changes.is_empty()
 }
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -269,9 +269,9 @@
         return;
     }
     match AdvertisedRate::parse(value) {
-        Ok(notice) => {
-            target.record_rate_limit(router.now(), notice);
-            in_flight.slot.record_rate(notice);
+        Ok(advertised) => {
+            target.record_rate_limit(router.now(), advertised);
+            in_flight.slot.record_rate(advertised);
         }
         Err(value) => {
             log::warn!(server:% = target.life, value = value; "server_limit_unreadable");
--- a/crates/chicoryrail-router/src/run.rs
+++ b/crates/chicoryrail-router/src/run.rs
@@ -263,7 +263,7 @@
             log::warn!(late_ms = late.0; "paused");
         }
         last = now;
-        router.apply_changes(&[]);
+        router.apply_view_changes(&[]);
         update_config_age(&router);
         let ready = can_serve(&router);
         if ready != router.process.is_ready() && !router.process.stop.is_cancelled() {
--- a/crates/chicoryrail-router/src/state/apply.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -28,7 +28,7 @@
 impl Router {
     /// Logs the given changes of the store view, drops the servers whose entries have expired, and updates services,
     /// servers and key records.
-    pub(crate) fn apply_changes(&self, changes: &[ViewChange]) {
+    pub(crate) fn apply_view_changes(&self, changes: &[ViewChange]) {
         for change in changes {
             self.log(change);
             if let ViewChange::Own(key) = change {
