--- a/crates/chicoryrail-policy/src/shared/server_limit.rs
+++ b/crates/chicoryrail-policy/src/local/advertised_limit.rs
@@ -2,25 +2,25 @@
 
 use chicoryrail_core::Millis;
 
-/// Time after the last advertised limit during which answers without one don't remove it: answers to several hosts
-/// overtake each other, and not every answer must carry the limit.
+/// Time after the last advertised limit during which responses without one don't remove it: responses to several hosts
+/// overtake each other, and not every response must carry the limit.
 const LIMIT_HOLD_TIME: Millis = Millis(2_000);
 
 /// Time after which a limit that is not advertised again expires in any case. A host that sends the server no requests
-/// receives no answers from it.
+/// receives no responses from it.
 const LIMIT_EXPIRY_TIME: Millis = Millis(10_000);
 
-/// Rate that a server's answer advertises.
+/// Rate that a server's response advertises.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RateNotice {
+pub enum AdvertisedRate {
     /// Any rate.
     Unlimited,
     /// Requests per second from all hosts together.
     Limited(f64),
 }
 
-impl RateNotice {
-    /// Parses the value of an answer's header; `None` stands for an answer without the header.
+impl AdvertisedRate {
+    /// Parses the value of a response's header; `None` stands for a response without the header.
     ///
     /// # Errors
     ///
@@ -29,11 +29,11 @@
     /// # Example
     ///
     /// ```
-    /// use chicoryrail_policy::RateNotice;
+    /// use chicoryrail_policy::AdvertisedRate;
     ///
-    /// assert_eq!(RateNotice::parse(Some("2.5")), Ok(RateNotice::Limited(2.5)));
-    /// assert_eq!(RateNotice::parse(None), Ok(RateNotice::Unlimited));
-    /// assert_eq!(RateNotice::parse(Some("-1")), Err("-1"));
+    /// assert_eq!(AdvertisedRate::parse(Some("2.5")), Ok(AdvertisedRate::Limited(2.5)));
+    /// assert_eq!(AdvertisedRate::parse(None), Ok(AdvertisedRate::Unlimited));
+    /// assert_eq!(AdvertisedRate::parse(Some("-1")), Err("-1"));
     /// ```
     pub fn parse(value: Option<&str>) -> Result<Self, &str> {
         let Some(text) = value else {
@@ -46,24 +46,26 @@
     }
 }
 
-/// Rate limit of a server, as advertised by its answers.
+/// Rate limit of a server, as advertised by its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ServerLimit {
+pub struct AdvertisedLimit {
     rate: Option<f64>,
     seen_at: Millis,
 }
 
-impl ServerLimit {
-    /// Applies the rate that an answer advertises. Returns `true` if the limit changed.
-    pub fn heard(&mut self, now: Millis, notice: RateNotice) -> bool {
+impl AdvertisedLimit {
+    /// Applies the rate that a response advertises. Returns `true` if the limit changed.
+    pub fn record(&mut self, now: Millis, advertised: AdvertisedRate) -> bool {
         let before = self.rate(now);
-        match notice {
-            RateNotice::Limited(rate) => {
+        match advertised {
+            AdvertisedRate::Limited(rate) => {
                 self.rate = Some(rate);
                 self.seen_at = now;
             }
-            RateNotice::Unlimited if now.since(self.seen_at) >= LIMIT_HOLD_TIME => self.rate = None,
-            RateNotice::Unlimited => {}
+            AdvertisedRate::Unlimited if now.since(self.seen_at) >= LIMIT_HOLD_TIME => {
+                self.rate = None;
+            }
+            AdvertisedRate::Unlimited => {}
         }
         self.rate(now) != before
     }
--- a/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
@@ -5,28 +5,28 @@
 
 use chicoryrail_core::Millis;
 use chicoryrail_policy::Scheduler;
-use chicoryrail_policy::SlotState;
+use chicoryrail_policy::ServerStatus;
 
-use crate::state::Origin;
+use crate::messages::Packet;
+use crate::messages::PartName;
+use crate::messages::SlotReply;
+use crate::state::QueryOrigin;
 use crate::state::Router;
 use crate::state::Service;
-use crate::talk::Packet;
-use crate::talk::PartName;
-use crate::talk::SlotReply;
 
 /// Removes a request from its scheduler and returns its token: the caller has cancelled it, or it goes elsewhere.
 pub(super) fn remove_query(router: &Router, part: &PartName, ticket: u64) {
     if let Some(scheduler) = router.schedulers.by_part.borrow_mut().get_mut(part) {
-        scheduler.leave(ticket);
+        scheduler.cancel(ticket);
     }
     remove_origin(router, ticket);
 }
 
 /// Removes the origin of a request that this host does not assign to a server, and returns its token to the quota.
-pub(super) fn remove_origin(router: &Router, ticket: u64) -> Option<Origin> {
+pub(super) fn remove_origin(router: &Router, ticket: u64) -> Option<QueryOrigin> {
     let origin = router.schedulers.origins.borrow_mut().remove(&ticket)?;
     if let Some(organisation) = &origin.token {
-        router.quota.give_back(organisation);
+        router.quota.return_token(organisation);
     }
     Some(origin)
 }
@@ -35,7 +35,7 @@
 pub(super) fn refresh_servers(router: &Router, part: &PartName) {
     let service = router.service(&part.service);
     let mut schedulers = router.schedulers.by_part.borrow_mut();
-    if let Some(scheduler) = schedulers.get_mut(part).filter(|s| s.waiting() > 0) {
+    if let Some(scheduler) = schedulers.get_mut(part).filter(|s| s.queue_length() > 0) {
         sync_servers(router, &service, part, scheduler, router.now());
     }
 }
@@ -49,39 +49,41 @@
     scheduler: &mut Scheduler,
     now: Millis,
 ) {
-    let warmup_bound = router.cold_bound(&service.name);
+    let warmup_bound = router.warmup_rate_max(&service.name);
     let targets = service.targets.borrow();
     let any_ready = targets.values().any(|t| t.is_ready());
     let mut count = 0;
-    for target in targets.values().filter(|t| part.has(&t.dc)) {
+    for target in targets.values().filter(|t| part.contains(&t.dc)) {
         count += 1;
-        let state = SlotState {
+        let state = ServerStatus {
             slots: target.slots.get(),
-            open: if any_ready && !service.is_keyed() {
+            accepting: if any_ready && !service.is_keyed() {
                 target.is_ready()
             } else {
-                target.may_get(now)
+                target.accepts_requests(now)
             },
-            cold_until: target.cold_until.get(),
-            cold_bound: warmup_bound,
-            limit: target.limit.get().rate(now),
-            near: router.schedulers.dc_number(&target.dc),
-            ours: target.ours.get().unwrap_or(false),
+            warmup_until: target.warmup_until.get(),
+            warmup_rate_max: warmup_bound,
+            rate_limit: target.limit.get().rate(now),
+            dc_index: router.schedulers.dc_number(&target.dc),
+            scheduled_here: target.scheduled_here.get().unwrap_or(false),
         };
-        scheduler.set(now, target.id, state);
+        scheduler.update_server(now, target.id, state);
     }
     // The loop added every target of the part, so any further server of the scheduler no longer exists.
-    if scheduler.servers() > count {
-        scheduler.retain(|id| targets.values().any(|t| t.id == id));
+    if scheduler.server_count() > count {
+        scheduler.retain_servers(|id| targets.values().any(|t| t.id == id));
     }
 }
 
 /// Sends a reply to the host that sent the query; `None` stands for this host.
 pub(super) fn reply_to(router: &Rc<Router>, to: Option<SocketAddr>, ticket: u64, reply: SlotReply) {
     match to {
-        Some(addr) => router.talk.post(Packet::SlotReply { ticket, reply }, addr),
+        Some(addr) => router
+            .peer_socket
+            .send_detached(Packet::SlotReply { ticket, reply }, addr),
         None => {
-            router.asks.replied(ticket, reply);
+            router.pending_queries.deliver(ticket, reply);
         }
     }
 }
--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -4,7 +4,7 @@
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
-use chicoryrail_policy::return_time;
+use chicoryrail_policy::retry_after;
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::RequestBody;
 use http::Response;
@@ -38,9 +38,9 @@
 /// Longest time between two checks for a server, if no change notification arrives.
 const TARGET_POLL_INTERVAL: Millis = Millis(10);
 
-/// Multiple of the usual service time after which a request to a silent server is cancelled and sent to another one.
-/// It exceeds what a slow server with a slow neighbour takes, since cancelling a running request wastes its work.
-const SILENT_WORK_FACTOR: f64 = 8.0;
+/// Multiple of the usual service time after which a request to an unresponsive server is cancelled and sent to another
+/// one. It exceeds what a slow server with a slow neighbour takes, since cancelling a running request wastes its work.
+const UNRESPONSIVE_WORK_FACTOR: f64 = 8.0;
 
 /// The attempts to serve one request.
 struct Attempts<'a> {
@@ -66,8 +66,8 @@
 ) -> Result<Response<Body>, Refusal> {
     let service = router.service(call.service_name());
     let now = router.now();
-    let bound = router.retry_bound();
-    service.retries.borrow_mut().request(now, &bound);
+    let limits = router.retry_limits();
+    service.retries.borrow_mut().record_request(now, &limits);
     let mut attempts = Attempts {
         router,
         service,
@@ -137,9 +137,9 @@
     async fn acquire_without_scheduler(&self) -> Result<(Rc<Target>, SlotGuard), Refusal> {
         let target = self.wait_for_target().await?;
         if let Some((name, limit)) = self.call.needed_quota() {
-            let (now, hosts) = (self.router.now(), self.router.lone_hosts());
+            let (now, hosts) = (self.router.now(), self.router.standalone_hosts());
             let organisations = &self.router.organisations;
-            if let Err(after) = organisations.take_lone(now, name, limit, hosts) {
+            if let Err(after) = organisations.take_standalone(now, name, limit, hosts) {
                 log::info!(request = self.call.id, organisation:% = name, rate = limit.rate,
                     hosts = hosts, token_in_ms = after.0; "quota_refused_alone");
                 self.router.counters.over_quota(name);
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Returns how long to wait for the response to this attempt. An idempotent request without a key leaves a silent
-    /// server while there is time for another one, but not before twice the latency target.
+    /// Returns how long to wait for the response to this attempt. An idempotent request without a key leaves an
+    /// unresponsive server while there is time for another one, but not before twice the latency target.
     fn attempt_timeout(&self) -> Millis {
         let left = self.call.time_left(self.router.now());
         let has_alternative = self.call.is_idempotent()
@@ -196,9 +196,13 @@
         if !has_alternative || self.router.process.stop.is_cancelled() {
             return left;
         }
-        let work = self.router.work(&self.call.route.name, self.call.route.aim);
-        let silence_max = Millis((work * SILENT_WORK_FACTOR / 1_000.0) as u64);
-        silence_max.max(self.call.route.aim.times(2)).min(left)
+        let work = self
+            .router
+            .expected_work_us(&self.call.route.name, self.call.route.aim);
+        let response_time_max = Millis((work * UNRESPONSIVE_WORK_FACTOR / 1_000.0) as u64);
+        response_time_max
+            .max(self.call.route.aim.times(2))
+            .min(left)
     }
 
     /// Returns whether the request may be sent again. If the last send reached a server (`reached_server`), the next
@@ -213,9 +217,9 @@
         if !may || !reached_server {
             return may;
         }
-        let bound = self.router.retry_bound();
+        let limits = self.router.retry_limits();
         let now = self.router.now();
-        let may = self.service.retries.borrow_mut().take(now, &bound);
+        let may = self.service.retries.borrow_mut().try_take(now, &limits);
         if !may {
             log::info!(request = self.call.id, service:% = self.service.name; "no_repeat_left");
         }
@@ -228,7 +232,9 @@
             NotRun::Refused => Cause::Full,
             NotRun::Misdirected => Cause::KeyMoving,
         };
-        let work = self.router.work(&self.call.route.name, self.call.route.aim);
+        let work = self
+            .router
+            .expected_work_us(&self.call.route.name, self.call.route.aim);
         self.refuse(cause, Millis((work / 1_000.0) as u64))
     }
 
@@ -254,7 +260,7 @@
         let left = self.call.time_left(self.router.now());
         Refusal {
             cause,
-            retry_after: Some(return_time(&mut rand::rng(), capacity_in, left)),
+            retry_after: Some(retry_after(&mut rand::rng(), capacity_in, left)),
         }
     }
 
--- a/crates/chicoryrail-router/src/route/choose.rs
+++ b/crates/chicoryrail-router/src/route/choose.rs
@@ -55,20 +55,20 @@
 fn choose_owner(router: &Router, service: &Service, call: &Call, key: u16, now: Millis) -> Choice {
     let owner = service.keys.borrow().owner(now, key);
     let life = match owner {
-        KeyOwner::Held(life) => life,
+        KeyOwner::Granted(life) => life,
         KeyOwner::Moving => return Choice::Wait(Cause::KeyMoving, KEY_MOVE_RETRY),
-        KeyOwner::Nobody => return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY),
+        KeyOwner::Unassigned => return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY),
     };
-    let target = service.target(&life).filter(|t| t.may_get(now));
+    let target = service.target(&life).filter(|t| t.accepts_requests(now));
     let Some(target) = target else {
         return Choice::Wait(Cause::KeyMoving, KEY_MOVE_RETRY);
     };
-    let work = router.work(&call.route.name, call.route.aim);
+    let work = router.expected_work_us(&call.route.name, call.route.aim);
     let loads = service.loads.borrow();
-    if loads.has_room(now, target.id) && take_rate_permit(router, call, &target, now) {
+    if loads.has_capacity(now, target.id) && take_rate_permit(router, call, &target, now) {
         return Choice::Send(target);
     }
-    Choice::Wait(Cause::Full, loads.room_in(now, target.id, work))
+    Choice::Wait(Cause::Full, loads.capacity_in(now, target.id, work))
 }
 
 fn choose_unkeyed(
@@ -78,11 +78,11 @@
     tried: &[Life],
     now: Millis,
 ) -> Choice {
-    let accepting = service.open_targets(now);
+    let accepting = service.accepting_targets(now);
     if accepting.is_empty() {
         return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY);
     }
-    let work = router.work(&call.route.name, call.route.aim);
+    let work = router.expected_work_us(&call.route.name, call.route.aim);
     let mut untried: Vec<_> = accepting
         .iter()
         .filter(|t| !tried.contains(&t.life))
@@ -102,7 +102,7 @@
     }
     let capacity_in = accepting
         .iter()
-        .map(|t| loads.room_in(now, t.id, work))
+        .map(|t| loads.capacity_in(now, t.id, work))
         .min();
     Choice::Wait(Cause::Full, capacity_in.unwrap_or(NO_SERVER_RETRY))
 }
@@ -113,17 +113,21 @@
     if target.limit.get().rate(now).is_some() {
         return false;
     }
-    if !target.is_cold(now) {
+    if !target.is_warming_up(now) {
         return true;
     }
     // The scheduler distributes half of the warm-up rate. A host that receives the leader's messages, but got no reply
     // from the scheduler in time, sends such a server nothing: all such hosts together would exceed the rate, as
     // the scheduler still uses its half.
-    if router.is_unsure_of_hosts(now) || router.peers.borrow().hears_leader(now, LEADER_SILENCE_MAX)
+    if router.is_discovering_hosts(now)
+        || router
+            .peers
+            .borrow()
+            .leader_seen_within(now, LEADER_SILENCE_MAX)
     {
         return false;
     }
-    let rate_max = router.cold_bound(call.service_name()) * LOCAL_WARMUP_FRACTION;
-    let hosts = router.peers.borrow().sharing();
-    target.cold.borrow_mut().take(now, rate_max, hosts)
+    let rate_max = router.warmup_rate_max(call.service_name()) * LOCAL_WARMUP_FRACTION;
+    let hosts = router.peers.borrow().sharing_hosts();
+    target.warmup.borrow_mut().try_take(now, rate_max, hosts)
 }
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -6,9 +6,9 @@
 use chicoryrail_core::Millis;
 use chicoryrail_core::RouteKind;
 use chicoryrail_platform::call_header;
+use chicoryrail_policy::AdvertisedRate;
 use chicoryrail_policy::Failure;
 use chicoryrail_policy::LoadReport;
-use chicoryrail_policy::RateNotice;
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::Invariant;
 use chicoryrail_runtime::RequestBody;
@@ -110,7 +110,7 @@
     let (target, slot) = assignment;
     let (target, slot) = (&target, Rc::new(slot));
     let now = router.now();
-    let idle = service.loads.borrow().is_free(now, target.id);
+    let idle = service.loads.borrow().has_free_slot(now, target.id);
     let started = Instant::now();
     let not_run = call.stats.borrow().may_have_run == 0;
     let invariants = &router.process.invariants;
@@ -137,13 +137,13 @@
     let mut loads = service.loads.borrow_mut();
     match sent.failure() {
         None => {
-            let work = router.work(&call.route.name, call.route.aim);
+            let work = router.expected_work_us(&call.route.name, call.route.aim);
             if matches!(sent, SendOutcome::Answered(_)) {
-                loads.answered(now, target.id, elapsed_us, work, idle);
-                router.worked(&call.route.name, call.route.aim, elapsed_us);
+                loads.record_response(now, target.id, elapsed_us, work, idle);
+                router.record_work(&call.route.name, call.route.aim, elapsed_us);
             }
         }
-        Some(failure) => loads.failed(now, target.id, failure),
+        Some(failure) => loads.record_failure(now, target.id, failure),
     }
     let labels = [service.name.as_str(), sent.name()];
     router.counters.sends.with_label_values(&labels).inc();
@@ -201,7 +201,7 @@
     router
         .reach
         .borrow_mut()
-        .answered(router.now(), &in_flight.target.dc);
+        .record_response(router.now(), &in_flight.target.dc);
     record_report(router, service, &in_flight, &head.headers);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         drain(body, in_flight).await;
@@ -250,13 +250,13 @@
     {
         // The request that this response ends is still counted as one of this host's requests in flight.
         let mut loads = service.loads.borrow_mut();
-        loads.heard(now, target.id, report);
+        loads.apply_report(now, target.id, report);
         slot.record_load(report);
     }
     let warmup_left =
         call_header::text(headers, &call_header::COLD_LEFT).and_then(|t| t.parse().ok());
     if let Some(left) = warmup_left {
-        target.cold_for(now, Millis(left));
+        target.extend_warmup(now, Millis(left));
     }
 }
 
@@ -268,10 +268,10 @@
     if value.is_none() && !headers.contains_key(call_header::STAMP) {
         return;
     }
-    match RateNotice::parse(value) {
-        Ok(notice) => {
-            target.hear_limit(router.now(), notice);
-            in_flight.slot.record_rate(notice);
+    match AdvertisedRate::parse(value) {
+        Ok(advertised) => {
+            target.record_rate_limit(router.now(), advertised);
+            in_flight.slot.record_rate(advertised);
         }
         Err(value) => {
             log::warn!(server:% = target.life, value = value; "server_limit_unreadable");
@@ -285,7 +285,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     let mut headers = call.headers.clone();
-    headers.insert(call_header::EXPECTED_SERVER, target.header.clone());
+    headers.insert(call_header::EXPECTED_SERVER, target.expect_header.clone());
     let time_left = HeaderValue::from(call.time_left(now).0.max(1));
     headers.insert(call_header::TIME_LEFT, time_left);
     *request.headers_mut() = headers;
--- a/crates/chicoryrail-router/src/state/quota_shares.rs
+++ b/crates/chicoryrail-router/src/state/quota_shares.rs
@@ -9,11 +9,11 @@
 use chicoryrail_core::OrganisationName;
 use chicoryrail_core::QuotaLimit;
 use chicoryrail_core::Site;
-use chicoryrail_policy::LONE_AFTER;
+use chicoryrail_policy::QUOTA_LEADER_TIMEOUT;
 use chicoryrail_policy::QuotaGrant;
 use chicoryrail_policy::QuotaReport;
 use chicoryrail_policy::QuotaShare;
-use chicoryrail_policy::ShareBound;
+use chicoryrail_policy::ShareParams;
 use chicoryrail_runtime::Signal;
 
 use crate::state::Router;
@@ -28,17 +28,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct QuotaShares {
     shares: RefCell<BTreeMap<OrganisationName, Share>>,
-    /// When the leader last answered a report; `None` if it has not since this process started.
-    answered: Cell<Option<Millis>>,
+    /// When the leader last replied to a report; `None` if it has not since this process started.
+    last_reply: Cell<Option<Millis>>,
     /// Notified when an organisation runs low on tokens.
-    pub(crate) low: Signal,
+    pub(crate) low_tokens: Signal,
     /// When each waiting request began to wait for a token, by ticket.
     waiting: RefCell<HashMap<u64, Millis>>,
 }
 
 /// Outcome of taking a token for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TokenAnswer {
+pub(crate) enum TokenOutcome {
     /// The request has a token.
     Taken,
     /// A token is expected within a moment; the request tries again.
@@ -85,12 +85,12 @@
         self.shares.borrow().get(name).map(|s| s.limit)
     }
 
-    fn bound(&self, router: &Router, limit: QuotaLimit) -> ShareBound {
-        ShareBound {
+    fn params(&self, router: &Router, limit: QuotaLimit) -> ShareParams {
+        ShareParams {
             limit,
-            schedulers: router.peers.borrow().schedulers_count(),
-            lone: self.is_lone(router.now()),
-            allowance: router.quota_allowance(),
+            schedulers: router.peers.borrow().core_host_count(),
+            standalone: self.is_standalone(router.now()),
+            tolerance: router.quota_tolerance(),
         }
     }
 
@@ -104,28 +104,28 @@
         router: &Router,
         name: &OrganisationName,
         ticket: u64,
-    ) -> TokenAnswer {
+    ) -> TokenOutcome {
         let now = router.now();
         let mut shares = self.shares.borrow_mut();
         let Some(share) = shares.get_mut(name) else {
-            return TokenAnswer::Taken;
+            return TokenOutcome::Taken;
         };
-        let bound = self.bound(router, share.limit);
-        let taken = share.tokens.take(now, &bound);
-        if share.tokens.is_low(&bound) {
-            self.low.notify();
+        let params = self.params(router, share.limit);
+        let taken = share.tokens.try_take(now, &params);
+        if share.tokens.is_low(&params) {
+            self.low_tokens.notify();
         }
         match taken {
             Ok(()) => {
                 self.waiting.borrow_mut().remove(&ticket);
-                TokenAnswer::Taken
+                TokenOutcome::Taken
             }
-            Err(_) if share.tokens.may_wait(&bound) && self.record_wait(now, ticket) => {
-                TokenAnswer::Wait
+            Err(_) if share.tokens.can_wait(&params) && self.record_wait(now, ticket) => {
+                TokenOutcome::Wait
             }
             Err(after) => {
                 self.waiting.borrow_mut().remove(&ticket);
-                TokenAnswer::Refused(after)
+                TokenOutcome::Refused(after)
             }
         }
     }
@@ -138,17 +138,17 @@
         now.since(since) < TOKEN_WAIT_MAX
     }
 
-    /// Returns whether this host is standalone: the leader has not answered for [`LONE_AFTER`], so that this host
-    /// spends its own share of each limit without grants.
-    pub(crate) fn is_lone(&self, now: Millis) -> bool {
-        let answered = self.answered.get();
-        answered.is_none_or(|at| now.since(at) > LONE_AFTER)
+    /// Returns whether this host is standalone: the leader has not replied for [`QUOTA_LEADER_TIMEOUT`], so that this
+    /// host spends its own share of each limit without grants.
+    pub(crate) fn is_standalone(&self, now: Millis) -> bool {
+        let last_reply = self.last_reply.get();
+        last_reply.is_none_or(|at| now.since(at) > QUOTA_LEADER_TIMEOUT)
     }
 
     /// Returns the token of a request that did not run.
-    pub(crate) fn give_back(&self, name: &OrganisationName) {
+    pub(crate) fn return_token(&self, name: &OrganisationName) {
         if let Some(share) = self.shares.borrow_mut().get_mut(name) {
-            share.tokens.give_back();
+            share.tokens.refund();
         }
     }
 
@@ -157,21 +157,21 @@
         let now = router.now();
         let mut reports = Vec::new();
         for (name, share) in self.shares.borrow_mut().iter_mut() {
-            let bound = self.bound(router, share.limit);
-            if share.tokens.is_due(now, &bound) {
-                reports.push((name.clone(), share.tokens.report(now, &bound)));
+            let params = self.params(router, share.limit);
+            if share.tokens.is_due(now, &params) {
+                reports.push((name.clone(), share.tokens.report(now, &params)));
             }
         }
         reports
     }
 
     /// Applies the grants that the leader sent.
-    pub(crate) fn granted(&self, now: Millis, grants: &[(OrganisationName, QuotaGrant)]) {
-        self.answered.set(Some(now));
+    pub(crate) fn apply_grants(&self, now: Millis, grants: &[(OrganisationName, QuotaGrant)]) {
+        self.last_reply.set(Some(now));
         let mut shares = self.shares.borrow_mut();
         for (name, grant) in grants {
             if let Some(share) = shares.get_mut(name) {
-                share.tokens.grant(*grant);
+                share.tokens.apply_grant(*grant);
             }
         }
     }
--- a/crates/chicoryrail-router/tests/leaf_hosts.rs
+++ b/crates/chicoryrail-router/tests/leaf_hosts.rs
@@ -31,7 +31,7 @@
         for name in ["a", "b", "c"] {
             core.push(world.router(name).await);
         }
-        let leaf = world.weak_router("leaf").await;
+        let leaf = world.low_power_router("leaf").await;
         Self {
             world,
             core,
@@ -46,7 +46,7 @@
         let log = self.leaf.log();
         let mut lines = log.lines().filter(|l| l.contains("log=source"));
         let last = lines.next_back().unwrap();
-        let named = |r: &&RouterProcess| last.contains(&format!("Relay({})", r.talk));
+        let named = |r: &&RouterProcess| last.contains(&format!("Relay({})", r.peer_addr));
         self.core.iter().find(named).unwrap()
     }
 
@@ -57,13 +57,13 @@
             self.leaf.log().contains("server_entry_gone")
         })
         .await;
-        let before = self.removed.runs();
+        let before = self.removed.executed();
         for _ in 0..10 {
-            let answer = self.leaf.caller().get("/read/1").await;
-            assert_eq!(answer.unwrap().status(), 200);
+            let response = self.leaf.caller().get("/read/1").await;
+            assert_eq!(response.unwrap().status(), 200);
         }
-        assert_eq!(self.removed.runs(), before);
-        assert!(self.staying.runs() >= 10);
+        assert_eq!(self.removed.executed(), before);
+        assert!(self.staying.executed() >= 10);
     }
 }
 
@@ -75,8 +75,8 @@
         let fleet = Fleet::start("leaf").await;
         fleet.world.server("k-1", "kits").await;
         wait_until("keys are granted", async || {
-            let answer = fleet.leaf.caller().key(7).await;
-            answer.is_ok_and(|a| a.status() == 200)
+            let response = fleet.leaf.caller().key(7).await;
+            response.is_ok_and(|a| a.status() == 200)
         })
         .await;
         fleet.remove_server().await;
--- a/crates/chicoryrail-router/tests/organisations.rs
+++ b/crates/chicoryrail-router/tests/organisations.rs
@@ -46,13 +46,13 @@
     }
     let request = request.body(Bytes::new()).unwrap();
     let client = HttpClient::default();
-    let answer = client.call(router.callers, request, Millis(5_000)).await;
-    answer.unwrap()
+    let response = client.call(router.callers, request, Millis(5_000)).await;
+    response.unwrap()
 }
 
 async fn status(router: &RouterProcess, path: &str, key: &str) -> u16 {
-    let answer = call(router, path, &[("Chicoryrail-Key", key)]).await;
-    answer.status().as_u16()
+    let response = call(router, path, &[("Chicoryrail-Key", key)]).await;
+    response.status().as_u16()
 }
 
 /// Guards against requests that run without exactly one valid key, against an organisation that the caller claims by a
@@ -76,17 +76,17 @@
         put_organisations(&world, two_organisations(), false).await;
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        let answer = call(&router, "/read/1", headers).await;
-        assert_eq!(answer.status(), expected);
+        let response = call(&router, "/read/1", headers).await;
+        assert_eq!(response.status(), expected);
         assert_eq!(
-            answer.headers().contains_key("www-authenticate"),
+            response.headers().contains_key("www-authenticate"),
             expected == 401
         );
         for run in server.ledger().runs {
             assert_eq!(run.organisation.as_deref(), Some("school"));
             assert!(!run.key_leaked);
         }
-        assert_eq!(server.runs(), usize::from(expected == 200));
+        assert_eq!(server.executed(), usize::from(expected == 200));
         assert!(!router.log().contains("secret"), "a key is in the log");
     });
 }
@@ -154,9 +154,9 @@
         world.fault(&StoreFault::Silent { for_ms: 6_000 }).await;
         monoio::time::sleep(REVOCATION_TIME.duration()).await;
         for path in ["/order/1", "/manual/1"] {
-            let answer = call(&router, path, &[("Chicoryrail-Key", SHOP_KEY)]).await;
-            assert_eq!(answer.status(), 503);
-            assert!(answer.headers().contains_key("retry-after"));
+            let response = call(&router, path, &[("Chicoryrail-Key", SHOP_KEY)]).await;
+            assert_eq!(response.status(), 503);
+            assert!(response.headers().contains_key("retry-after"));
         }
         assert_eq!(
             status(&router, "/order/1", "other").await,
@@ -199,7 +199,7 @@
         put_organisations(&world, two_organisations(), false).await;
         world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        world.deafen(Millis(10_000)).await;
+        world.stall_watches(Millis(10_000)).await;
         put_organisations(
             &world,
             json!([{"name": "school", "api_keys": [SCHOOL_KEY]}]),
@@ -230,14 +230,18 @@
         monoio::time::sleep(Millis(1_500).duration()).await;
         let mut refused = 0;
         for _ in 0..150 {
-            let answer = call(&router, "/read/1", &[("Chicoryrail-Key", SCHOOL_KEY)]).await;
-            if answer.status() == 429 {
-                assert!(answer.headers().contains_key("retry-after"));
+            let response = call(&router, "/read/1", &[("Chicoryrail-Key", SCHOOL_KEY)]).await;
+            if response.status() == 429 {
+                assert!(response.headers().contains_key("retry-after"));
                 refused += 1;
             }
         }
         // The rate for two seconds, the burst, and the allowance of a tenth and 20 requests; the loop takes less time.
-        assert!(server.runs() <= 66, "{} requests ran", server.runs());
+        assert!(
+            server.executed() <= 66,
+            "{} requests ran",
+            server.executed()
+        );
         assert!(refused >= 84, "{refused} requests were refused");
         assert_eq!(
             status(&router, "/read/1", SHOP_KEY).await,
