--- a/crates/chicoryrail-testkit/src/listener.rs
+++ b/crates/chicoryrail-testkit/src/listener.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 listener whose handler may close the connection in place of an answer.
+//! An HTTP/1.1 listener whose handler may close the connection instead of responding.
 
 use std::cell::Cell;
 use std::io;
@@ -26,19 +26,20 @@
 use monoio_compat::hyper::MonoioIo;
 use snafu::Snafu;
 
-/// Says that the connection is closed without an answer.
+/// The error with which a handler closes the connection without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the connection is closed without an answer"))]
+#[snafu(display("the connection is closed without a response"))]
 pub struct Cut;
 
-/// A bound listener with a limit on its connections.
+/// A bound listener with a limit on open connections.
 ///
-/// [`chicoryrail_runtime::serve_http`] always answers; a stand-in must be able to lose an answer.
+/// It exists because [`chicoryrail_runtime::serve_http`] always responds, and a stand-in must be able to lose a
+/// response.
 pub struct Listener {
     tcp: TcpListener,
-    most: u32,
-    open: Rc<Cell<u32>>,
-    refused: Rc<Cell<u64>>,
+    max_connections: u32,
+    open_connections: Rc<Cell<u32>>,
+    refused_connections: Rc<Cell<u64>>,
 }
 
 impl Listener {
@@ -46,24 +47,25 @@
     ///
     /// # Errors
     ///
-    /// Returns the flag and the value where the address can't be listened at.
+    /// Returns an error that names the flag and the address if it can't be bound.
     pub fn bind(addr: SocketAddr) -> Result<Self, SettingError> {
-        Self::of_flag("listen", addr)
+        Self::bind_flag("listen", addr)
     }
 
-    fn of_flag(flag: &'static str, addr: SocketAddr) -> Result<Self, SettingError> {
+    /// Binds `addr`, the value of the flag `flag`.
+    fn bind_flag(flag: &'static str, addr: SocketAddr) -> Result<Self, SettingError> {
         Ok(Self {
             tcp: bind(flag, addr)?,
-            most: u32::MAX,
-            open: Rc::default(),
-            refused: Rc::default(),
+            max_connections: u32::MAX,
+            open_connections: Rc::default(),
+            refused_connections: Rc::default(),
         })
     }
 
-    /// Sets the most connections that are open at a time; one more is closed at once.
+    /// Limits the open connections to `max`; further connections are closed at once.
     #[must_use]
-    pub fn with_connections(mut self, most: u32) -> Self {
-        self.most = most;
+    pub fn with_max_connections(mut self, max: u32) -> Self {
+        self.max_connections = max;
         self
     }
 
@@ -78,12 +80,12 @@
 
     /// Returns a counter of the connections that were closed because of the limit.
     #[must_use]
-    pub fn refused(&self) -> Rc<Cell<u64>> {
-        Rc::clone(&self.refused)
+    pub fn refused_connections(&self) -> Rc<Cell<u64>> {
+        Rc::clone(&self.refused_connections)
     }
 
-    /// Serves until `stop` is cancelled; the connections end with the process. A request's extensions
-    /// hold the `SocketAddr` of its caller.
+    /// Accepts connections until `stop` is cancelled; open connections live until the process ends. A request's
+    /// extensions contain the `SocketAddr` of its caller.
     pub async fn serve<H, F>(self, stop: CancellationToken, handler: H)
     where
         H: Fn(Request<Incoming>) -> F + 'static,
@@ -98,21 +100,23 @@
                 Either::Left((Err(_), _)) => continue,
                 Either::Right(_) => return,
             };
-            if self.open.get() >= self.most {
-                self.refused.set(self.refused.get() + 1);
+            if self.open_connections.get() >= self.max_connections {
+                self.refused_connections
+                    .set(self.refused_connections.get() + 1);
                 continue;
             }
-            self.open.set(self.open.get() + 1);
-            let (open, handler) = (Rc::clone(&self.open), Rc::clone(&handler));
+            self.open_connections.set(self.open_connections.get() + 1);
+            let (open_connections, handler) =
+                (Rc::clone(&self.open_connections), Rc::clone(&handler));
             monoio::spawn(async move {
-                connection(stream, peer, handler).await;
-                open.set(open.get() - 1);
+                serve_connection(stream, peer, handler).await;
+                open_connections.set(open_connections.get() - 1);
             });
         }
     }
 }
 
-async fn connection<H, F>(stream: TcpStream, peer: SocketAddr, handler: Rc<H>)
+async fn serve_connection<H, F>(stream: TcpStream, peer: SocketAddr, handler: Rc<H>)
 where
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Result<Response<Body>, Cut>> + 'static,
@@ -131,9 +135,9 @@
         .await;
 }
 
-/// Runs a stand-in as a process: binds, prints `listening ADDR`, serves until SIGTERM or SIGINT.
+/// Runs a stand-in as a process: binds `addr`, prints `listening ADDR` and serves until SIGTERM or SIGINT.
 ///
-/// `flag` is the one that names `addr`.
+/// `flag` is the command-line flag that set `addr`; an error names it.
 pub fn stand_in<S, F>(flag: &'static str, addr: SocketAddr, serve: S) -> ExitCode
 where
     S: FnOnce(Listener, CancellationToken) -> F,
@@ -143,7 +147,7 @@
     let result = block_on(async {
         let stop = CancellationToken::new();
         stop_on_signal(stop.clone()).map_err(|e| format!("signals: {e}"))?;
-        let listener = Listener::of_flag(flag, addr).map_err(|e| e.to_string())?;
+        let listener = Listener::bind_flag(flag, addr).map_err(|e| e.to_string())?;
         println!("listening {}", listener.addr().map_err(|e| e.to_string())?);
         serve(listener, stop).await;
         Ok::<_, String>(())
--- a/crates/chicoryrail-testkit/src/proxy.rs
+++ b/crates/chicoryrail-testkit/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting TCP proxy.
+//! A TCP proxy that injects network faults.
 
 mod connection;
 mod fault;
--- a/crates/chicoryrail-testkit/src/proxy/connection.rs
+++ b/crates/chicoryrail-testkit/src/proxy/connection.rs
@@ -1,4 +1,4 @@
-//! One proxied connection: two pumps and a guard.
+//! One proxied connection: a copy loop for each direction and a task that closes it when the link is reset.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -19,61 +19,64 @@
 
 use crate::Link;
 use crate::LinkFault;
-use crate::proxy::link::LOOK;
+use crate::proxy::link::POLL_INTERVAL;
 
-/// Bytes of one piece.
-const PIECE: usize = 16 << 10;
+/// Largest number of bytes read and forwarded at once.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// Pieces a second of a slow drip.
-const DRIPS: u64 = 50;
+/// Number of writes a second under a rate limit ([`LinkFault::drip`]).
+const DRIP_WRITES_PER_S: u64 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Up,
     Down,
 }
 
-/// What the two ways of a connection share.
+/// The state that the tasks of a connection share.
 struct Shared {
     link: Link,
     rng: RefCell<Pcg64Mcg>,
-    passed: Cell<u64>,
-    broken: CancellationToken,
+    /// Bytes forwarded in both directions.
+    forwarded: Cell<u64>,
+    /// Cancelled when the connection ends, whatever the cause.
+    ended: CancellationToken,
 }
 
-/// Passes one connection on until it ends or a fault breaks it.
-pub(crate) async fn connection(link: Link, caller: TcpStream, seed: u64) {
-    link.count(|s| s.accepted += 1);
-    let broken = CancellationToken::new();
+/// Forwards one connection until it ends or a fault breaks it.
+pub(crate) async fn forward_connection(link: Link, caller: TcpStream, seed: u64) {
+    link.update_stats(|s| s.accepted += 1);
+    let ended = CancellationToken::new();
     let shared = Rc::new(Shared {
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
-        passed: Cell::new(0),
-        broken: broken.clone(),
+        forwarded: Cell::new(0),
+        ended: ended.clone(),
         link,
     });
-    let first = shared.link.resets();
-    monoio::spawn(watch(Rc::clone(&shared), first));
-    shared.link.count(|s| s.open += 1);
-    let passed = std::pin::pin!(pass(&shared, caller));
-    select(passed, std::pin::pin!(broken.cancelled())).await;
-    shared.link.count(|s| s.open -= 1);
-    // Ends the watch of a connection that ended by itself.
-    broken.cancel();
+    let resets_before = shared.link.resets();
+    monoio::spawn(break_on_reset(Rc::clone(&shared), resets_before));
+    shared.link.update_stats(|s| s.open += 1);
+    let forwarded = std::pin::pin!(forward(&shared, caller));
+    select(forwarded, std::pin::pin!(ended.cancelled())).await;
+    shared.link.update_stats(|s| s.open -= 1);
+    // Ends the task that waits for a reset if the connection ended by itself.
+    ended.cancel();
 }
 
 /// Breaks the connection when the link is reset.
-async fn watch(shared: Rc<Shared>, first: u64) {
-    while !shared.broken.is_cancelled() {
-        if shared.link.resets() != first {
-            shared.end();
+async fn break_on_reset(shared: Rc<Shared>, resets_before: u64) {
+    while !shared.ended.is_cancelled() {
+        if shared.link.resets() != resets_before {
+            shared.break_connection();
         }
-        monoio::time::sleep(LOOK).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn pass(shared: &Rc<Shared>, caller: TcpStream) {
-    // A connection through a network that drops everything is not made.
-    shared.hold(|f| f.cut_up || f.cut_down).await;
+/// Connects to the upstream process and copies both directions until both have ended.
+async fn forward(shared: &Rc<Shared>, caller: TcpStream) {
+    // No connection is established over a cut network, so the upstream one waits for the cut to end.
+    shared.wait_while(|f| f.cut_up || f.cut_down).await;
     let Ok(upstream) = TcpStream::connect(shared.link.upstream()).await else {
         return;
     };
@@ -81,18 +84,20 @@
     let _ = upstream.set_nodelay(true);
     let (from_caller, to_caller) = caller.into_split();
     let (from_upstream, to_upstream) = upstream.into_split();
-    let up = pump(shared, Way::Up, from_caller, to_upstream);
-    let down = pump(shared, Way::Down, from_upstream, to_caller);
+    let up = copy(shared, Direction::Up, from_caller, to_upstream);
+    let down = copy(shared, Direction::Down, from_upstream, to_caller);
     join(up, down).await;
 }
 
-async fn pump(
+/// Copies one direction until its end, which is passed on as a shutdown, or until a fault or error breaks the
+/// connection.
+async fn copy(
     shared: &Shared,
-    way: Way,
+    direction: Direction,
     mut from: impl AsyncReadRent,
     mut to: impl AsyncWriteRent,
 ) {
-    let mut buffer = vec![0_u8; PIECE];
+    let mut buffer = vec![0_u8; CHUNK_BYTES];
     loop {
         let (read, filled) = from.read(buffer).await;
         buffer = filled;
@@ -102,13 +107,17 @@
                 return;
             }
             Ok(n) => {
-                if shared.send(way, &buffer[..n], &mut to).await.is_none() {
-                    shared.end();
+                if shared
+                    .send(direction, &buffer[..n], &mut to)
+                    .await
+                    .is_none()
+                {
+                    shared.break_connection();
                     return;
                 }
             }
             Err(_) => {
-                shared.end();
+                shared.break_connection();
                 return;
             }
         }
@@ -116,60 +125,67 @@
 }
 
 impl Shared {
-    /// Ends the connection. It is counted before an end of it is dropped, so that whoever sees the
-    /// connection end finds it counted.
-    fn end(&self) {
-        if !self.broken.is_cancelled() {
-            self.link.count(|s| s.broken += 1);
-            self.broken.cancel();
+    /// Breaks the connection. The break is counted before either socket is closed, so that the statistics contain it
+    /// when the caller or the upstream process sees the connection end.
+    fn break_connection(&self) {
+        if !self.ended.is_cancelled() {
+            self.link.update_stats(|s| s.broken += 1);
+            self.ended.cancel();
         }
     }
 
-    /// Passes a piece on under the link's fault; `None` breaks the connection.
-    async fn send(&self, way: Way, piece: &[u8], to: &mut impl AsyncWriteRent) -> Option<()> {
-        self.hold(|f| match way {
-            Way::Up => f.cut_up,
-            Way::Down => f.cut_down,
+    /// Forwards a chunk under the link's fault; `None` if the connection must be broken.
+    async fn send(
+        &self,
+        direction: Direction,
+        chunk: &[u8],
+        to: &mut impl AsyncWriteRent,
+    ) -> Option<()> {
+        self.wait_while(|f| match direction {
+            Direction::Up => f.cut_up,
+            Direction::Down => f.cut_down,
         })
         .await;
         let fault = self.link.fault();
-        if fault.lose_answers && way == Way::Down {
+        if fault.lose_answers && direction == Direction::Down {
             return None;
         }
         self.delay(&fault).await;
         let left = fault
             .reset_after
-            .map_or(u64::MAX, |n| n.saturating_sub(self.passed.get()));
-        let size = (piece.len() as u64).min(left) as usize;
-        self.write(&fault, &piece[..size], to).await?;
-        self.passed.set(self.passed.get() + size as u64);
-        self.link.count(|s| match way {
-            Way::Up => s.up += size as u64,
-            Way::Down => s.down += size as u64,
+            .map_or(u64::MAX, |n| n.saturating_sub(self.forwarded.get()));
+        let size = (chunk.len() as u64).min(left) as usize;
+        self.write(&fault, &chunk[..size], to).await?;
+        self.forwarded.set(self.forwarded.get() + size as u64);
+        self.link.update_stats(|s| match direction {
+            Direction::Up => s.up += size as u64,
+            Direction::Down => s.down += size as u64,
         });
-        (size == piece.len()).then_some(())
+        (size == chunk.len()).then_some(())
     }
 
+    /// Writes a chunk, in small parts at intervals if the fault limits the rate.
     async fn write(
         &self,
         fault: &LinkFault,
-        piece: &[u8],
+        chunk: &[u8],
         to: &mut impl AsyncWriteRent,
     ) -> Option<()> {
         let size = match fault.drip {
-            Some(rate) => (rate / DRIPS).max(1) as usize,
-            None => piece.len().max(1),
+            Some(rate) => (rate / DRIP_WRITES_PER_S).max(1) as usize,
+            None => chunk.len().max(1),
         };
-        for part in piece.chunks(size) {
+        for part in chunk.chunks(size) {
             let (written, _) = to.write_all(part.to_vec()).await;
             written.ok()?;
             if fault.drip.is_some() {
-                monoio::time::sleep(Duration::from_millis(1_000 / DRIPS)).await;
+                monoio::time::sleep(Duration::from_millis(1_000 / DRIP_WRITES_PER_S)).await;
             }
         }
         Some(())
     }
 
+    /// Waits for the fault's delay and a random jitter.
     async fn delay(&self, fault: &LinkFault) {
         if fault.delay_ms == 0 && fault.jitter_ms == 0 {
             return;
@@ -178,9 +194,10 @@
         monoio::time::sleep(Duration::from_millis(fault.delay_ms + extra)).await;
     }
 
-    async fn hold(&self, cut: impl Fn(&LinkFault) -> bool) {
-        while cut(&self.link.fault()) {
-            monoio::time::sleep(LOOK).await;
+    /// Waits while `is_blocked` is true of the link's fault.
+    async fn wait_while(&self, is_blocked: impl Fn(&LinkFault) -> bool) {
+        while is_blocked(&self.link.fault()) {
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/chicoryrail-testkit/src/proxy/fault.rs
+++ b/crates/chicoryrail-testkit/src/proxy/fault.rs
@@ -1,36 +1,37 @@
-//! Faults of a link.
+//! Network faults of a link.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a link does to its connections; the default passes everything on.
+/// The faults of a link, which apply to all of its connections; the default is no fault.
 ///
-/// *Up* is the way from the caller to the upstream process, *down* the way back. A way that is cut
-/// keeps its bytes until it heals, as TCP does over a network that drops packets.
+/// *Up* is the direction from the caller to the upstream process, *down* the opposite one. Bytes sent in a direction
+/// that is cut are kept and forwarded when the cut ends, as TCP retransmits packets that the network dropped.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkFault {
-    /// Delay of each piece, each way, in milliseconds.
+    /// Delay of each forwarded chunk in each direction, in milliseconds.
     pub delay_ms: u64,
-    /// Up to so many milliseconds more, drawn for each piece.
+    /// Largest additional delay in milliseconds, chosen at random for each chunk.
     pub jitter_ms: u64,
-    /// Nothing passes up.
+    /// Nothing is forwarded up.
     pub cut_up: bool,
-    /// Nothing passes down.
+    /// Nothing is forwarded down.
     pub cut_down: bool,
-    /// The port is closed: connections are refused.
+    /// The port is closed, so that new connections are refused.
     pub closed: bool,
-    /// A connection ends after so many bytes of both ways together.
+    /// Number of bytes of both directions together after which a connection is closed; `None` for no limit.
     pub reset_after: Option<u64>,
-    /// A connection ends when the first byte of an answer would pass: the request has reached the
-    /// upstream process, the answer is lost.
+    /// A connection is closed when the first byte of a response arrives: the request has reached the upstream process,
+    /// and its response is lost.
     pub lose_answers: bool,
-    /// Bytes a second that pass each way.
+    /// Bytes forwarded a second in each direction, rounded down to a multiple of 50 but at least 50; `None` for no
+    /// limit.
     pub drip: Option<u64>,
 }
 
 impl LinkFault {
-    /// Returns a link that passes nothing.
+    /// Returns a fault that cuts both directions.
     #[must_use]
     pub fn cut() -> Self {
         Self {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Returns a link that delays each piece.
+    /// Returns a fault that delays each chunk by `delay_ms` and up to `jitter_ms` more.
     #[must_use]
     pub fn delay(delay_ms: u64, jitter_ms: u64) -> Self {
         Self {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Returns a link whose port is closed.
+    /// Returns a fault that closes the port.
     #[must_use]
     pub fn closed() -> Self {
         Self {
--- a/crates/chicoryrail-testkit/src/proxy/link.rs
+++ b/crates/chicoryrail-testkit/src/proxy/link.rs
@@ -1,4 +1,4 @@
-//! One link: a listener and the process behind it.
+//! A link: the address that callers use, the upstream process and the current fault.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,25 +12,25 @@
 
 use crate::LinkFault;
 
-/// Wait between two looks at a link's fault, which another thread may change.
-pub(crate) const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a link's fault and resets are polled. Another thread may change them.
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Counts of a link.
+/// Statistics of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkStats {
-    /// Connections accepted.
+    /// Number of accepted connections.
     pub accepted: u64,
-    /// Connections open.
+    /// Number of open connections.
     pub open: u64,
-    /// Connections ended by a fault.
+    /// Number of connections closed by a fault, a reset or an I/O error.
     pub broken: u64,
-    /// Bytes passed up.
+    /// Bytes forwarded up.
     pub up: u64,
-    /// Bytes passed down.
+    /// Bytes forwarded down.
     pub down: u64,
 }
 
-/// A link, which any thread may script; clones share it.
+/// A link whose fault any thread may change; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Link {
     name: Arc<str>,
@@ -43,6 +43,7 @@
 #[derive(Debug, Default)]
 struct State {
     fault: LinkFault,
+    /// Number of calls of [`Link::reset`].
     resets: u64,
     stats: LinkStats,
 }
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Returns the name.
+    /// Returns the name of the link.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
@@ -76,44 +77,45 @@
         self.upstream
     }
 
-    /// Sets what the link does from now on, to open connections too.
+    /// Replaces the fault of the link; it applies to open connections too.
     pub fn set(&self, fault: LinkFault) {
         self.state().fault = fault;
     }
 
-    /// Lets everything pass again.
+    /// Ends the fault.
     pub fn heal(&self) {
         self.set(LinkFault::default());
     }
 
-    /// Ends the open connections.
+    /// Closes the open connections.
     pub fn reset(&self) {
         self.state().resets += 1;
     }
 
-    /// Returns what the link does now.
+    /// Returns the current fault.
     #[must_use]
     pub fn fault(&self) -> LinkFault {
         self.state().fault.clone()
     }
 
-    /// Returns the counts.
+    /// Returns the statistics of the link.
     #[must_use]
     pub fn stats(&self) -> LinkStats {
         self.state().stats
     }
 
-    /// Returns the seed of the draws on the link.
+    /// Returns the seed of the link's random choices.
     pub(crate) const fn seed(&self) -> u64 {
         self.seed
     }
 
+    /// Returns the number of resets so far.
     pub(crate) fn resets(&self) -> u64 {
         self.state().resets
     }
 
-    pub(crate) fn count(&self, count: impl FnOnce(&mut LinkStats)) {
-        count(&mut self.state().stats);
+    pub(crate) fn update_stats(&self, update: impl FnOnce(&mut LinkStats)) {
+        update(&mut self.state().stats);
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
--- a/crates/chicoryrail-testkit/src/proxy/net.rs
+++ b/crates/chicoryrail-testkit/src/proxy/net.rs
@@ -1,4 +1,4 @@
-//! Many links in one thread.
+//! A thread that runs the proxies of many links.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -14,28 +14,28 @@
 
 use crate::Link;
 use crate::free_port;
-use crate::proxy::link::LOOK;
+use crate::proxy::link::POLL_INTERVAL;
 use crate::proxy::serve;
 
-/// A thread that carries links; dropping it ends them all.
+/// A thread that runs a proxy for each link; dropping it ends the thread and all links.
 #[derive(Debug)]
 pub struct Net {
     seed: u64,
-    count: u64,
-    links: Option<Sender<(Link, TcpListener)>>,
+    link_count: u64,
+    new_links: Option<Sender<(Link, TcpListener)>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Net {
-    /// Starts the thread.
+    /// Starts the thread. Each link gets a seed derived from `seed`.
     #[must_use]
     pub fn start(seed: u64) -> Self {
-        let (links, added) = channel();
-        let thread = std::thread::spawn(move || block_on(serve(added)));
+        let (sender, new_links) = channel();
+        let thread = std::thread::spawn(move || block_on(serve(new_links)));
         Self {
             seed,
-            count: 0,
-            links: Some(links),
+            link_count: 0,
+            new_links: Some(sender),
             thread: Some(thread),
         }
     }
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error where no port can be bound.
+    /// Returns the system's error if no port can be bound.
     pub fn link(&mut self, name: &str, upstream: SocketAddr) -> io::Result<Link> {
         let addr = free_port()?;
         self.link_at(name, addr, upstream)
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error where the address can't be bound.
+    /// Returns the system's error if the address can't be bound.
     pub fn link_at(
         &mut self,
         name: &str,
@@ -62,20 +62,22 @@
         upstream: SocketAddr,
     ) -> io::Result<Link> {
         let listener = TcpListener::bind(addr)?;
-        self.count += 1;
-        let seed = self.seed.wrapping_add(self.count);
+        self.link_count += 1;
+        let seed = self.seed.wrapping_add(self.link_count);
         let link = Link::new(name, listener.local_addr()?, upstream, seed);
         let ended = || io::Error::other("the proxy's thread has ended");
-        let links = self.links.as_ref().ok_or_else(ended)?;
-        links.send((link.clone(), listener)).map_err(|_| ended())?;
+        let new_links = self.new_links.as_ref().ok_or_else(ended)?;
+        new_links
+            .send((link.clone(), listener))
+            .map_err(|_| ended())?;
         Ok(link)
     }
 
-    /// Adds a link on a port that the system chooses.
+    /// Adds a link to `upstream` on a loopback port that the system chooses.
     ///
     /// # Errors
     ///
-    /// Returns the system's error where no port can be bound.
+    /// Returns the system's error if no port can be bound.
     pub fn link_anywhere(&mut self, name: &str, upstream: SocketAddr) -> io::Result<Link> {
         self.link_at(name, (Ipv4Addr::LOCALHOST, 0).into(), upstream)
     }
@@ -83,21 +85,22 @@
 
 impl Drop for Net {
     fn drop(&mut self) {
-        // The thread ends when it finds that nobody can add a link any more.
-        self.links = None;
+        // Closes the channel, which ends the thread.
+        self.new_links = None;
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-async fn serve(added: Receiver<(Link, TcpListener)>) {
+/// Spawns a proxy for each new link until the channel is closed.
+async fn serve(new_links: Receiver<(Link, TcpListener)>) {
     loop {
-        match added.try_recv() {
+        match new_links.try_recv() {
             Ok((link, listener)) => {
                 monoio::spawn(serve::serve(link, listener));
             }
-            Err(TryRecvError::Empty) => monoio::time::sleep(LOOK).await,
+            Err(TryRecvError::Empty) => monoio::time::sleep(POLL_INTERVAL).await,
             Err(TryRecvError::Disconnected) => return,
         }
     }
--- a/crates/chicoryrail-testkit/src/proxy/serve.rs
+++ b/crates/chicoryrail-testkit/src/proxy/serve.rs
@@ -1,4 +1,4 @@
-//! The listener of a link.
+//! The accept loop of a link.
 
 use std::io;
 use std::net::TcpListener as StdListener;
@@ -10,32 +10,32 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::Link;
-use crate::proxy::connection::connection;
-use crate::proxy::link::LOOK;
+use crate::proxy::connection::forward_connection;
+use crate::proxy::link::POLL_INTERVAL;
 
-/// Serves the link; a closed port is opened again when the fault ends.
+/// Accepts connections of the link and forwards them. A port closed by a fault is bound again when the fault ends.
 pub(crate) async fn serve(link: Link, listener: StdListener) {
     let mut rng = Pcg64Mcg::seed_from_u64(link.seed());
-    let mut listener = listen(listener).ok();
+    let mut listener = from_std(listener).ok();
     loop {
         if link.fault().closed {
             listener = None;
-            monoio::time::sleep(LOOK).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
             continue;
         }
-        let Some(open) = &listener else {
-            listener = StdListener::bind(link.addr()).and_then(listen).ok();
-            monoio::time::sleep(LOOK).await;
+        let Some(bound) = &listener else {
+            listener = StdListener::bind(link.addr()).and_then(from_std).ok();
+            monoio::time::sleep(POLL_INTERVAL).await;
             continue;
         };
-        if let Ok(Ok((stream, _))) = timeout(LOOK, open.accept()).await {
+        if let Ok(Ok((stream, _))) = timeout(POLL_INTERVAL, bound.accept()).await {
             let (link, seed) = (link.clone(), rng.next_u64());
-            monoio::spawn(connection(link, stream, seed));
+            monoio::spawn(forward_connection(link, stream, seed));
         }
     }
 }
 
-fn listen(listener: StdListener) -> io::Result<TcpListener> {
+fn from_std(listener: StdListener) -> io::Result<TcpListener> {
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
--- a/crates/chicoryrail-testkit/src/query.rs
+++ b/crates/chicoryrail-testkit/src/query.rs
@@ -1,10 +1,11 @@
-//! Parameters in the query of a request.
+//! Query parameters of a request.
 
 use std::str::FromStr;
 
 use http::Uri;
 
-/// Returns the value of the parameter `name`; `None` where it is absent or can't be read.
+/// Returns the parsed value of the query parameter `name`; `None` if it is absent or can't be parsed. The value is not
+/// percent-decoded.
 #[must_use]
 pub fn query<T: FromStr>(uri: &Uri, name: &str) -> Option<T> {
     uri.query()?
--- a/crates/chicoryrail-testkit/src/store.rs
+++ b/crates/chicoryrail-testkit/src/store.rs
@@ -1,12 +1,12 @@
-//! The stand-in of the platform's key-value service.
+//! A stand-in of the platform's key-value store, served over HTTP.
 
 mod control;
 mod fault;
 mod kv;
-mod rate;
+mod rate_limiter;
 mod server;
 mod state;
-mod waiting;
+mod watch_guard;
 
 pub use fault::StoreFault;
 pub use kv::Change;
--- a/crates/chicoryrail-testkit/src/store/control.rs
+++ b/crates/chicoryrail-testkit/src/store/control.rs
@@ -1,4 +1,4 @@
-//! Calls with which a test steers the store and looks into it.
+//! Control calls of tests: faults, compaction, statistics and the history of writes.
 
 use bytes::Bytes;
 use chicoryrail_core::Millis;
@@ -14,7 +14,8 @@
 use crate::query;
 
 impl StoreServer {
-    pub(super) fn testkit(&self, method: &Method, uri: &Uri, body: &Bytes) -> Response<Body> {
+    /// Executes a call to `/testkit/...`, to which neither faults nor rate limits apply.
+    pub(super) fn control(&self, method: &Method, uri: &Uri, body: &Bytes) -> Response<Body> {
         let mut state = self.state.borrow_mut();
         match (method.clone(), uri.path()) {
             (Method::GET, "/testkit/stats") => json_answer(200, &state.stats),
@@ -35,13 +36,13 @@
             }
             (Method::PUT, "/testkit/compact") => {
                 state.kv.compact();
-                state.wake();
+                state.wake_watches();
                 json_answer(200, &())
             }
             (Method::PUT, "/testkit/deafen") => {
                 let for_ms = query(uri, "for_ms").unwrap_or(0);
-                state.deaf_until = self.clock.now() + Millis(for_ms);
-                state.wake();
+                state.stalled_until = self.clock.now() + Millis(for_ms);
+                state.wake_watches();
                 json_answer(200, &())
             }
             _ => error_answer(400, "the store has no such test call"),
--- a/crates/chicoryrail-testkit/src/store/fault.rs
+++ b/crates/chicoryrail-testkit/src/store/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of the store.
+//! Faults that a test switches on at the store.
 
 use std::net::IpAddr;
 
@@ -9,46 +9,47 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::timed::Timed;
+use crate::timed::TimedFaults;
 
-/// A fault, as `PUT /testkit/fault` takes it in JSON.
+/// A fault of the store; the JSON body of `PUT /testkit/fault`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum StoreFault {
-    /// Calls are not done and get no answer: the connection is closed, or status 503 is given.
+    /// Calls are not executed; the connection is closed without a response, or status 503 is returned.
     Down {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Share of the calls concerned.
+        /// Fraction of the calls affected, 0 to 1.
         #[serde(default = "always")]
         share: f64,
-        /// Whether status 503 is given in place of a closed connection.
+        /// Whether status 503 is returned instead of closing the connection.
         #[serde(default)]
         polite: bool,
-        /// Callers concerned; none: all of them.
+        /// Addresses of the callers affected; all callers if empty.
         #[serde(default)]
         hosts: Vec<IpAddr>,
     },
-    /// Connections go silent for good: calls under way and those that come get no answer and no end.
+    /// Calls in flight and calls that arrive during the fault hang for ever: they get no response, and their
+    /// connection stays open.
     Silent {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
     },
-    /// Calls are done after a delay.
+    /// Calls are executed after a delay.
     Slow {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Share of the calls concerned.
+        /// Fraction of the calls affected, 0 to 1.
         #[serde(default = "always")]
         share: f64,
         /// Delay of each call in milliseconds.
         delay_ms: u64,
     },
-    /// Calls are done, then the connection is closed without an answer.
+    /// Calls are executed, then the connection is closed without a response.
     LoseAnswers {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Share of the calls concerned.
+        /// Fraction of the calls affected, 0 to 1.
         #[serde(default = "always")]
         share: f64,
     },
@@ -58,79 +59,82 @@
     1.0
 }
 
-/// What befalls one call.
+/// The faults that apply to one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Fate {
-    /// Wait before the call is done.
+pub(crate) struct CallFaults {
+    /// Delay before the call is executed.
     pub(crate) delay: Millis,
-    /// The call is not done; the flag tells whether status 503 is given.
+    /// If set, the call is not executed; `true` returns status 503, `false` closes the connection.
     pub(crate) down: Option<bool>,
-    /// The call is done and its answer lost.
-    pub(crate) lost: bool,
-    /// The connection is silent from now on.
+    /// The call is executed and its response is lost.
+    pub(crate) response_lost: bool,
+    /// The call never gets a response.
     pub(crate) silent: bool,
 }
 
-/// The faults that are on.
+/// The active faults.
 #[derive(Debug)]
 pub(crate) struct StoreFaults {
-    on: Timed<StoreFault>,
-    /// Silences so far; what was under way when one began stays silent.
-    pub(crate) silences: u64,
+    timed: TimedFaults<StoreFault>,
+    /// Number of [`StoreFault::Silent`] faults so far. A call during which it
+    /// grows gets no response.
+    pub(crate) silence_count: u64,
     rng: Pcg64Mcg,
 }
 
 impl StoreFaults {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
-            on: Timed::default(),
-            silences: 0,
+            timed: TimedFaults::default(),
+            silence_count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// Switches a fault on, beside those that are on.
+    /// Switches a fault on; active faults stay on.
     pub(crate) fn add(&mut self, now: Millis, fault: StoreFault) {
         if matches!(fault, StoreFault::Silent { .. }) {
-            self.silences += 1;
+            self.silence_count += 1;
         }
         let (StoreFault::Down { for_ms, .. }
         | StoreFault::Silent { for_ms }
         | StoreFault::Slow { for_ms, .. }
         | StoreFault::LoseAnswers { for_ms, .. }) = fault;
-        self.on.add(now + Millis(for_ms), fault);
+        self.timed.add(now + Millis(for_ms), fault);
     }
 
     /// Switches all faults off.
     pub(crate) fn clear(&mut self) {
-        self.on.clear();
+        self.timed.clear();
     }
 
-    /// Draws what befalls the next call.
-    pub(crate) fn draw(&mut self, now: Millis, caller: Option<IpAddr>) -> Fate {
-        let mut fate = Fate::default();
-        for (_, fault) in self.on.at(now) {
-            let mut hit = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
+    /// Samples the faults of the next call.
+    pub(crate) fn sample(&mut self, now: Millis, caller: Option<IpAddr>) -> CallFaults {
+        let mut faults = CallFaults::default();
+        for (_, fault) in self.timed.active(now) {
+            let mut is_affected = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
             match fault {
                 StoreFault::Down {
                     share,
                     polite,
                     hosts,
                     ..
-                } if concerns(hosts, caller) && hit(share) => fate.down = Some(*polite),
-                StoreFault::Silent { .. } => fate.silent = true,
+                } if applies_to(hosts, caller) && is_affected(share) => faults.down = Some(*polite),
+                StoreFault::Silent { .. } => faults.silent = true,
                 StoreFault::Slow {
                     share, delay_ms, ..
-                } if hit(share) => fate.delay = fate.delay + Millis(*delay_ms),
-                StoreFault::LoseAnswers { share, .. } if hit(share) => fate.lost = true,
+                } if is_affected(share) => faults.delay = faults.delay + Millis(*delay_ms),
+                StoreFault::LoseAnswers { share, .. } if is_affected(share) => {
+                    faults.response_lost = true
+                }
                 _ => {}
             }
         }
-        fate
+        faults
     }
 }
 
-/// Tells whether a fault for some hosts, or for all where none is named, strikes a caller.
-fn concerns(hosts: &[IpAddr], caller: Option<IpAddr>) -> bool {
+/// Returns `true` if a fault limited to `hosts` applies to the caller; an empty list applies to every caller.
+fn applies_to(hosts: &[IpAddr], caller: Option<IpAddr>) -> bool {
     hosts.is_empty() || caller.is_some_and(|c| hosts.contains(&c))
 }
--- a/crates/chicoryrail-testkit/src/store/kv.rs
+++ b/crates/chicoryrail-testkit/src/store/kv.rs
@@ -1,4 +1,4 @@
-//! Keys, revisions, leases and the history of writes.
+//! The data of the store: keys, revisions, leases, change events and the history of writes.
 
 use std::collections::BTreeMap;
 
@@ -13,23 +13,24 @@
 
 use crate::wall_micros;
 
-/// Largest value in bytes, as the platform's store has it.
-const VALUE_MOST: usize = 1 << 20;
+/// Largest value in bytes; the platform's store has the same limit.
+const VALUE_MAX_BYTES: usize = 1 << 20;
 
-/// Items of one page, as the platform's store has it.
-const PAGE_MOST: usize = 500;
+/// Largest number of items of one page; the platform's store has the same limit.
+const PAGE_MAX_ITEMS: usize = 500;
 
-/// Writes kept for tests' questions; at a few hundred a second it covers a long run.
-const HISTORY_KEPT: usize = 1_000_000;
+/// Number of writes kept for `/testkit/history`. At a few hundred writes a second it covers a long run; later
+/// writes are not recorded.
+const HISTORY_MAX_WRITES: usize = 1_000_000;
 
-/// Why a transaction has not taken effect.
+/// The reason why a transaction was rejected; a rejected transaction has no effect.
 #[derive(Clone, Debug)]
 pub enum TxnError {
-    /// A condition does not hold; these are the keys of the conditions as they stand.
+    /// A precondition failed. Holds the current items of all keys in the preconditions; absent keys are left out.
     Conflict(Vec<WireItem>),
-    /// A value is longer than a megabyte, or is no base64.
+    /// A value is longer than a megabyte or is not valid base64.
     BadValue,
-    /// There is no such lease.
+    /// A put names a lease that does not exist.
     NoLease,
 }
 
@@ -40,15 +41,15 @@
     pub key: String,
     /// Revision of the write.
     pub version: u64,
-    /// Value written, as text; `None` where the key was deleted.
+    /// Value written, decoded to text; `None` if the key was deleted.
     pub value: Option<String>,
-    /// Wall-clock time in microseconds.
+    /// Time of the write in microseconds since 1970.
     pub time: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    /// In base64.
+    /// Encoded in base64.
     value: String,
     revision: u64,
     created: u64,
@@ -58,16 +59,16 @@
 #[derive(Debug)]
 struct Lease {
     ttl: Millis,
-    ends: Millis,
+    expires_at: Millis,
 }
 
-/// The state of the store; time comes in as an argument.
+/// The data of the store. It reads no clock for its leases: methods take the current time as an argument.
 #[derive(Debug, Default)]
 pub struct Kv {
     entries: BTreeMap<String, Entry>,
     events: Vec<WireItem>,
-    /// Revision up to which the events are forgotten.
-    forgotten: u64,
+    /// Revision up to which the events are compacted.
+    compacted_to: u64,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     revision: u64,
@@ -75,23 +76,32 @@
 }
 
 impl Kv {
-    /// Makes a change, all or nothing, and returns its revision.
+    /// Applies a transaction atomically and returns its revision.
     ///
     /// # Errors
     ///
-    /// Returns why nothing was done.
+    /// Returns the reason if the transaction was rejected.
     pub fn commit(&mut self, txn: &WireTxn) -> Result<u64, TxnError> {
-        let stands = |key: &str, rev: u64| self.entries.get(key).map_or(0, |e| e.revision) == rev;
-        if !txn.precondition.iter().all(|c| stands(&c.key, c.rev)) {
+        let is_at_revision =
+            |key: &str, rev: u64| self.entries.get(key).map_or(0, |e| e.revision) == rev;
+        if !txn
+            .precondition
+            .iter()
+            .all(|c| is_at_revision(&c.key, c.rev))
+        {
             let items = txn.precondition.iter().filter_map(|c| self.get(&c.key));
             return Err(TxnError::Conflict(items.collect()));
         }
-        let fits = |value: &str| STANDARD.decode(value).is_ok_and(|v| v.len() <= VALUE_MOST);
-        if !txn.puts.iter().all(|p| fits(&p.value)) {
+        let is_valid_value = |value: &str| {
+            STANDARD
+                .decode(value)
+                .is_ok_and(|v| v.len() <= VALUE_MAX_BYTES)
+        };
+        if !txn.puts.iter().all(|p| is_valid_value(&p.value)) {
             return Err(TxnError::BadValue);
         }
-        let open = |lease: u64| lease == 0 || self.leases.contains_key(&lease);
-        if !txn.puts.iter().all(|p| open(p.lease)) {
+        let lease_exists = |lease: u64| lease == 0 || self.leases.contains_key(&lease);
+        if !txn.puts.iter().all(|p| lease_exists(p.lease)) {
             return Err(TxnError::NoLease);
         }
         self.revision += 1;
@@ -108,7 +118,7 @@
             };
             self.events.push(item(&put.key, &entry));
             self.entries.insert(put.key.clone(), entry);
-            self.note(&put.key, Some(&put.value));
+            self.record_write(&put.key, Some(&put.value));
         }
         for key in &txn.remove {
             self.delete(key);
@@ -116,19 +126,19 @@
         Ok(self.revision)
     }
 
-    /// Reads a key.
+    /// Returns the item of a key; `None` if the key is absent.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<WireItem> {
         self.entries.get(key).map(|e| item(key, e))
     }
 
-    /// Returns the revision of the store.
+    /// Returns the current revision of the store; 0 for a new one.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns a page of the items with the prefix after the key `after`.
+    /// Returns the first page of items whose keys start with `prefix` and sort after `after`.
     #[must_use]
     pub fn page(&self, prefix: &str, after: &str) -> WirePage {
         let items = self
@@ -136,11 +146,11 @@
             .iter()
             .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
         let mut items: Vec<_> = items
-            .take(PAGE_MOST + 1)
+            .take(PAGE_MAX_ITEMS + 1)
             .map(|(key, e)| item(key, e))
             .collect();
-        let has_more = items.len() > PAGE_MOST;
-        items.truncate(PAGE_MOST);
+        let has_more = items.len() > PAGE_MAX_ITEMS;
+        items.truncate(PAGE_MAX_ITEMS);
         WirePage {
             items,
             has_more,
@@ -148,21 +158,21 @@
         }
     }
 
-    /// Returns the changes of keys with the prefix after the revision; `None` where they are forgotten.
+    /// Returns the changes of keys with the prefix after the revision; `None` if they were compacted.
     #[must_use]
-    pub fn changed(&self, prefix: &str, after: u64) -> Option<Vec<WireItem>> {
+    pub fn changes_since(&self, prefix: &str, after: u64) -> Option<Vec<WireItem>> {
         let events = self.events.iter();
-        let changed = events.filter(|e| e.rev > after && e.key.starts_with(prefix));
-        (after >= self.forgotten).then(|| changed.cloned().collect())
+        let changes = events.filter(|e| e.rev > after && e.key.starts_with(prefix));
+        (after >= self.compacted_to).then(|| changes.cloned().collect())
     }
 
-    /// Forgets the changes so far; the items stay.
+    /// Discards the change events so far; the items stay.
     pub fn compact(&mut self) {
         self.events.clear();
-        self.forgotten = self.revision;
+        self.compacted_to = self.revision;
     }
 
-    /// Returns every write with the prefix that took effect, oldest first.
+    /// Returns the puts and deletions of keys with the prefix, oldest first. Compaction does not shorten the history.
     #[must_use]
     pub fn history(&self, prefix: &str) -> Vec<&Change> {
         self.history
@@ -171,22 +181,23 @@
             .collect()
     }
 
-    /// Opens a lease and returns its number.
+    /// Opens a lease and returns its id.
     pub fn open_lease(&mut self, ttl: Millis, now: Millis) -> u64 {
         self.last_lease += 1;
-        let ends = now + ttl;
-        self.leases.insert(self.last_lease, Lease { ttl, ends });
+        let expires_at = now + ttl;
+        self.leases
+            .insert(self.last_lease, Lease { ttl, expires_at });
         self.last_lease
     }
 
-    /// Renews a lease and returns its length; `None` where it has ended.
+    /// Renews a lease and returns its time to live; `None` if there is no such lease.
     pub fn renew_lease(&mut self, id: u64, now: Millis) -> Option<Millis> {
         let lease = self.leases.get_mut(&id)?;
-        lease.ends = now + lease.ttl;
+        lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
     }
 
-    /// Ends a lease and deletes its keys; tells whether it was open.
+    /// Ends a lease and deletes its keys; returns whether the lease was open.
     pub fn end_lease(&mut self, id: u64) -> bool {
         if self.leases.remove(&id).is_none() {
             return false;
@@ -200,12 +211,12 @@
         true
     }
 
-    /// Ends the leases that have run out; tells whether a key was deleted.
+    /// Ends the expired leases; returns whether a key was deleted.
     pub fn expire(&mut self, now: Millis) -> bool {
         let before = self.revision;
-        let ended = self.leases.iter().filter(|(_, l)| l.ends <= now);
-        let ended: Vec<u64> = ended.map(|(id, _)| *id).collect();
-        for id in ended {
+        let expired = self.leases.iter().filter(|(_, l)| l.expires_at <= now);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             self.end_lease(id);
         }
         self.revision != before
@@ -221,11 +232,11 @@
             tombstone: true,
             ..item(key, &entry)
         });
-        self.note(key, None);
+        self.record_write(key, None);
     }
 
-    fn note(&mut self, key: &str, value: Option<&str>) {
-        if self.history.len() < HISTORY_KEPT {
+    fn record_write(&mut self, key: &str, value: Option<&str>) {
+        if self.history.len() < HISTORY_MAX_WRITES {
             let text = |v| STANDARD.decode(v).unwrap_or_default();
             let text = |v| String::from_utf8_lossy(&text(v)).into_owned();
             self.history.push(Change {
--- a/crates/chicoryrail-testkit/src/store/server.rs
+++ b/crates/chicoryrail-testkit/src/store/server.rs
@@ -33,18 +33,18 @@
 use crate::TxnError;
 use crate::query;
 use crate::store::state::State;
-use crate::store::waiting::Waiting;
+use crate::store::watch_guard::WatchGuard;
 
-/// Largest body taken in bytes: a value of a megabyte, escaped.
-const BODY_MOST: usize = 8 << 20;
+/// Largest accepted request body in bytes: enough for a value of a megabyte, escaped.
+const BODY_MAX_BYTES: usize = 8 << 20;
 
-/// Longest wait of a watch.
-const WAIT_MOST: Millis = Millis(30_000);
+/// Longest time that a watch waits for changes.
+const WAIT_MAX: Millis = Millis(30_000);
 
-/// Time after the history was forgotten in which a watch hangs.
-const HANGS: Millis = Millis(200);
+/// Time after a stall during which a new watch hangs until the next change.
+const HANG_WINDOW: Millis = Millis(200);
 
-/// The stand-in of the store; clones share the state.
+/// The stand-in of the platform's key-value store; clones share its state.
 #[derive(Clone, Debug)]
 pub struct StoreServer {
     pub(crate) clock: Clock,
@@ -52,7 +52,7 @@
 }
 
 impl StoreServer {
-    /// Builds an empty store.
+    /// Builds an empty store with the options.
     #[must_use]
     pub fn new(options: StoreOptions) -> Self {
         let state = State::new(options);
@@ -62,20 +62,20 @@
         }
     }
 
-    /// Serves until `stop` is cancelled.
+    /// Serves calls and ends expired leases until `stop` is cancelled.
     pub async fn serve(self, listener: Listener, stop: CancellationToken) {
-        let expiry = self.clone();
-        let ended = stop.clone();
+        let store = self.clone();
+        let stopped = stop.clone();
         monoio::spawn(async move {
-            while !ended.is_cancelled() {
-                expiry.clock.sleep(Millis(20)).await;
-                expiry.expire();
+            while !stopped.is_cancelled() {
+                store.clock.sleep(Millis(20)).await;
+                store.expire();
             }
         });
         listener
             .serve(stop, move |request| {
                 let this = self.clone();
-                async move { this.answer(request).await }
+                async move { this.respond(request).await }
             })
             .await;
     }
@@ -84,49 +84,53 @@
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         if state.kv.expire(now) {
-            state.wake();
+            state.wake_watches();
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
         let (head, body) = request.into_parts();
-        let Ok(body) = collect(body, BODY_MOST).await else {
+        let Ok(body) = collect(body, BODY_MAX_BYTES).await else {
             return Ok(too_large());
         };
         let path = head.uri.path().to_owned();
         if path.starts_with("/testkit/") {
-            return Ok(self.testkit(&head.method, &head.uri, &body));
+            return Ok(self.control(&head.method, &head.uri, &body));
         }
         let caller = head.extensions.get::<SocketAddr>().map(SocketAddr::ip);
-        let fate = self
+        let call_faults = self
             .state
             .borrow_mut()
             .faults
-            .draw(self.clock.now(), caller);
-        if fate != Default::default() {
+            .sample(self.clock.now(), caller);
+        if call_faults != Default::default() {
             self.state.borrow_mut().stats.faulty += 1;
-            self.clock.sleep(fate.delay).await;
+            self.clock.sleep(call_faults.delay).await;
         }
-        if fate.silent {
+        if call_faults.silent {
             std::future::pending::<()>().await;
         }
-        let silences = self.state.borrow().faults.silences;
-        match fate.down {
+        let silence_count = self.state.borrow().faults.silence_count;
+        match call_faults.down {
             Some(true) => return Ok(error_answer(503, "fault: down")),
             Some(false) => return Err(Cut),
             None => {}
         }
-        let answer = self.call(&head.method, &head.uri, &body).await;
-        if self.state.borrow().faults.silences != silences {
+        let response = self.execute(&head.method, &head.uri, &body).await;
+        if self.state.borrow().faults.silence_count != silence_count {
             std::future::pending::<()>().await;
         }
-        if fate.lost { Err(Cut) } else { Ok(answer) }
+        if call_faults.response_lost {
+            Err(Cut)
+        } else {
+            Ok(response)
+        }
     }
 
-    async fn call(&self, method: &Method, uri: &Uri, body: &Bytes) -> Response<Body> {
+    async fn execute(&self, method: &Method, uri: &Uri, body: &Bytes) -> Response<Body> {
         let path = uri.path();
-        let renews = path.starts_with("/-/kv-keep/");
-        if !self.pass(*method == Method::GET || renews) {
+        let is_renewal = path.starts_with("/-/kv-keep/");
+        if !self.admit(*method == Method::GET || is_renewal) {
             return json_answer(429, &"the store's rate is used up");
         }
         match (method.as_str(), path) {
@@ -135,29 +139,30 @@
             ("GET", "/-/kv-watch") => self.watch(uri).await,
             ("POST", "/-/kv-txn") => self.commit(body),
             ("POST", "/-/kv-lease") => self.open_lease(body),
-            ("POST", _) if renews => self.renew(path),
+            ("POST", _) if is_renewal => self.renew(path),
             ("DELETE", _) if path.starts_with("/-/kv-lease-end/") => self.end_lease(path),
             _ => error_answer(400, "the store has no such call"),
         }
     }
 
-    fn pass(&self, is_read: bool) -> bool {
+    /// Applies the rate limits to a call; returns `false` if it must be refused.
+    fn admit(&self, is_read: bool) -> bool {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        let rate = if is_read {
-            &mut state.reads
+        let limiter = if is_read {
+            &mut state.read_limiter
         } else {
-            &mut state.writes
+            &mut state.write_limiter
         };
-        let pass = rate.take(now);
-        if !pass {
+        let admitted = limiter.try_take(now);
+        if !admitted {
             state.stats.limited += 1;
         }
-        pass
+        admitted
     }
 
     fn get(&self, uri: &Uri) -> Response<Body> {
-        let key = text(uri, "key");
+        let key = text_param(uri, "key");
         let mut state = self.state.borrow_mut();
         state.stats.gets += 1;
         let store_revision = Some(state.kv.revision());
@@ -183,7 +188,7 @@
             Ok(rev) => {
                 state.stats.swaps += 1;
                 state.stats.written += txn.puts.iter().map(|p| p.value.len() as u64).sum::<u64>();
-                state.wake();
+                state.wake_watches();
                 json_answer(200, &WireWritten { rev })
             }
             Err(e) => {
@@ -202,63 +207,69 @@
         state.stats.lists += 1;
         json_answer(
             200,
-            &state.kv.page(&text(uri, "prefix"), &text(uri, "after")),
+            &state
+                .kv
+                .page(&text_param(uri, "prefix"), &text_param(uri, "after")),
         )
     }
 
     async fn watch(&self, uri: &Uri) -> Response<Body> {
-        let prefix = text(uri, "prefix");
+        let prefix = text_param(uri, "prefix");
         let after = query(uri, "after").unwrap_or(0);
-        let wait = Millis(query(uri, "wait_ms").unwrap_or(0)).min(WAIT_MOST);
-        let ends = self.clock.now() + wait;
+        let wait = Millis(query(uri, "wait_ms").unwrap_or(0)).min(WAIT_MAX);
+        let deadline = self.clock.now() + wait;
         self.state.borrow_mut().stats.watches += 1;
-        let _waiting = Waiting::new(&self.state);
-        if self.hangs() {
+        let _guard = WatchGuard::new(&self.state);
+        if self.is_in_hang_window() {
             let changed = self.state.borrow().changed.clone();
             let _ = timeout(wait.duration(), changed.cancelled()).await;
         }
         loop {
-            if let Some(left) = self.deaf_for() {
+            if let Some(left) = self.stall_left() {
                 monoio::time::sleep(left.duration()).await;
                 self.state.borrow_mut().kv.compact();
                 return error_answer(503, "the history was forgotten");
             }
             let changed = {
                 let state = self.state.borrow();
-                let Some(events) = state.kv.changed(&prefix, after) else {
+                let Some(events) = state.kv.changes_since(&prefix, after) else {
                     return json_answer(410, &"that history is forgotten");
                 };
-                if !events.is_empty() || self.clock.now() >= ends {
+                if !events.is_empty() || self.clock.now() >= deadline {
                     let store_revision = state.kv.revision();
-                    let answer = WireChanges {
+                    let response = WireChanges {
                         events,
                         store_revision,
                     };
-                    return json_answer(200, &answer);
+                    return json_answer(200, &response);
                 }
                 state.changed.clone()
             };
-            let left = ends.since(self.clock.now()) + Millis(1);
+            let left = deadline.since(self.clock.now()) + Millis(1);
             let _ = timeout(left.duration(), changed.cancelled()).await;
         }
     }
 
-    /// Returns how much longer watches hear nothing of changes, before the history is forgotten and they are cut.
-    fn deaf_for(&self) -> Option<Millis> {
-        let left = self.state.borrow().deaf_until.since(self.clock.now());
+    /// Returns how much longer watches are stalled; `None` if they are not. At the end of the stall the history is
+    /// compacted and the stalled watches get status 503.
+    fn stall_left(&self) -> Option<Millis> {
+        let left = self.state.borrow().stalled_until.since(self.clock.now());
         (left > Millis::ZERO).then_some(left)
     }
 
-    /// Tells whether a watch is sent in the moment after that, in which it hangs until the next change.
-    fn hangs(&self) -> bool {
-        let deaf = self.state.borrow().deaf_until;
+    /// Returns `true` within [`HANG_WINDOW`] after a stall, when a new watch hangs until the next change or the end of
+    /// its wait.
+    fn is_in_hang_window(&self) -> bool {
+        let stalled_until = self.state.borrow().stalled_until;
         let now = self.clock.now();
-        deaf > Millis::ZERO && now >= deaf && now.since(deaf) < HANGS
+        stalled_until > Millis::ZERO
+            && now >= stalled_until
+            && now.since(stalled_until) < HANG_WINDOW
     }
 
     fn open_lease(&self, body: &Bytes) -> Response<Body> {
         let WireTtl { ttl_ms } = match serde_json::from_slice(body) {
-            Ok(asked) => asked,
+            Ok(request) => request,
             Err(e) => return error_answer(400, &format!("lease: {e}")),
         };
         let mut state = self.state.borrow_mut();
@@ -270,7 +281,7 @@
     fn renew(&self, path: &str) -> Response<Body> {
         let mut state = self.state.borrow_mut();
         state.stats.leases += 1;
-        match state.kv.renew_lease(number(path), self.clock.now()) {
+        match state.kv.renew_lease(lease_id(path), self.clock.now()) {
             Some(ttl) => json_answer(200, &WireTtl { ttl_ms: ttl.0 }),
             None => json_answer(404, &"no such lease"),
         }
@@ -279,10 +290,10 @@
     fn end_lease(&self, path: &str) -> Response<Body> {
         let mut state = self.state.borrow_mut();
         state.stats.leases += 1;
-        if !state.kv.end_lease(number(path)) {
+        if !state.kv.end_lease(lease_id(path)) {
             return json_answer(404, &"no such lease");
         }
-        state.wake();
+        state.wake_watches();
         json_answer(200, &())
     }
 }
@@ -291,15 +302,15 @@
     error_answer(413, "the value is longer than a megabyte")
 }
 
-/// Returns a parameter of the query as text; empty where it is missing.
-fn text(uri: &Uri, name: &str) -> String {
+/// Returns a percent-decoded query parameter; empty if it is missing.
+fn text_param(uri: &Uri, name: &str) -> String {
     let raw: String = query(uri, name).unwrap_or_default();
     let bytes = percent_decode(&raw).unwrap_or_default();
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Returns the number that a path ends with; 0, which no lease has, where there is none.
-fn number(path: &str) -> u64 {
+/// Returns the lease id at the end of a path; 0, which is no lease's id, if there is none.
+fn lease_id(path: &str) -> u64 {
     let last = path.rsplit('/').next();
     last.and_then(|n| n.parse().ok()).unwrap_or(0)
 }
--- a/crates/chicoryrail-testkit/src/store/state.rs
+++ b/crates/chicoryrail-testkit/src/store/state.rs
@@ -1,4 +1,4 @@
-//! What the store's tasks share, with its settings and counts.
+//! The state that the store's tasks share, its options and its statistics.
 
 use chicoryrail_core::Millis;
 use chicoryrail_runtime::CancellationToken;
@@ -7,41 +7,42 @@
 
 use crate::Kv;
 use crate::store::fault::StoreFaults;
-use crate::store::rate::Rate;
+use crate::store::rate_limiter::RateLimiter;
 
-/// Settings of the store.
+/// Options of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreOptions {
-    /// Writes a second that pass; the rest gets status 429. `None` for no limit.
+    /// Writes accepted a second; the others get status 429. `None` sets no limit.
     pub writes: Option<u32>,
-    /// Reads a second that pass, a watch counting as one.
+    /// Reads accepted a second, each watch and lease renewal counted as one; the others get status 429. `None` sets no
+    /// limit.
     pub reads: Option<u32>,
-    /// Seed of the faults' shares.
+    /// Seed of the random choice of the calls that a fault affects.
     pub seed: u64,
 }
 
-/// Calls counted, each waiting watch as one.
+/// Numbers of calls by kind; a watch counts once, however long it waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStats {
     /// Reads of one key.
     pub gets: u64,
-    /// Transactions that wrote.
+    /// Committed transactions.
     pub swaps: u64,
-    /// Transactions that did not write.
+    /// Rejected transactions.
     pub conflicts: u64,
     /// Pages listed.
     pub lists: u64,
     /// Watches.
     pub watches: u64,
-    /// Watches that wait now.
+    /// Watches that wait at present.
     pub waiting: u64,
-    /// Lease calls.
+    /// Calls that opened, renewed or ended a lease.
     pub leases: u64,
-    /// Calls refused because of the rates.
+    /// Calls refused by the rate limits.
     pub limited: u64,
-    /// Calls that met a fault.
+    /// Calls affected by a fault.
     pub faulty: u64,
-    /// Bytes of values written.
+    /// Bytes of values written, in base64.
     pub written: u64,
 }
 
@@ -50,12 +51,13 @@
     pub(crate) kv: Kv,
     pub(crate) stats: StoreStats,
     pub(crate) faults: StoreFaults,
-    pub(crate) writes: Rate,
-    pub(crate) reads: Rate,
-    /// Cancelled at each change, then replaced; watches wait on it.
+    pub(crate) write_limiter: RateLimiter,
+    pub(crate) read_limiter: RateLimiter,
+    /// Watches wait for this token; each change cancels and replaces it.
     pub(crate) changed: CancellationToken,
-    /// Until when watches hear nothing; then the history is forgotten and they are cut.
-    pub(crate) deaf_until: Millis,
+    /// End of the stall during which watches return no changes. After it the history is compacted and the stalled
+    /// watches get status 503.
+    pub(crate) stalled_until: Millis,
 }
 
 impl State {
@@ -64,15 +66,15 @@
             kv: Kv::default(),
             stats: StoreStats::default(),
             faults: StoreFaults::new(options.seed),
-            writes: Rate::new(options.writes),
-            reads: Rate::new(options.reads),
+            write_limiter: RateLimiter::new(options.writes),
+            read_limiter: RateLimiter::new(options.reads),
             changed: CancellationToken::new(),
-            deaf_until: Millis::ZERO,
+            stalled_until: Millis::ZERO,
         }
     }
 
-    /// Wakes every watch that waits.
-    pub(crate) fn wake(&mut self) {
+    /// Wakes every waiting watch.
+    pub(crate) fn wake_watches(&mut self) {
         std::mem::take(&mut self.changed).cancel();
     }
 }
--- a/crates/chicoryrail-testkit/src/target.rs
+++ b/crates/chicoryrail-testkit/src/target.rs
@@ -1,19 +1,18 @@
-//! The stand-in of a target (server).
+//! A stand-in of a target (server), served over HTTP.
 
-mod answer;
-mod cold;
 mod fault;
 mod holding;
 mod ledger;
-mod limited;
+mod limit_check;
 mod options;
 mod presence;
+mod response;
 mod server;
 mod slots;
 mod state;
+mod warmup;
 mod work;
 
-pub use answer::AnswerHead;
 pub use fault::TargetFault;
 pub use holding::FenceOld;
 pub use holding::Holding;
@@ -23,4 +22,5 @@
 pub use ledger::Overrun;
 pub use ledger::Run;
 pub use options::TargetOptions;
+pub use response::AnswerHead;
 pub use server::TargetServer;
--- a/crates/chicoryrail-testkit/src/target/fault.rs
+++ b/crates/chicoryrail-testkit/src/target/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a target.
+//! Faults that a test switches on at a target.
 
 use chicoryrail_core::Millis;
 use rand::Rng;
@@ -7,98 +7,98 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::timed::Timed;
+use crate::timed::TimedFaults;
 
-/// A fault, as `PUT /testkit/fault` takes it in JSON.
+/// A fault of a target; the JSON body of `PUT /testkit/fault`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum TargetFault {
     /// Requests take longer.
     Slow {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Factor on the service time.
+        /// Factor by which the service time is multiplied.
         factor: f64,
     },
-    /// The caches are empty again.
+    /// The server loses its caches and starts a new warm-up.
     Cold {
-        /// Length of the cold phase; the program's own where absent.
+        /// Duration of the warm-up in milliseconds; [`crate::TargetOptions::cold_ms`] if absent.
         #[serde(default)]
         for_ms: Option<u64>,
     },
-    /// The server announces that it leaves; it serves what comes all the same.
+    /// The server announces that it is draining; it goes on serving requests.
     Leave,
-    /// Grants and releases neither arrive nor get an answer.
+    /// Grants and releases have no effect and get no response; their connections are closed when the fault ends.
     Deaf {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
     },
-    /// Requests run and fail.
+    /// Requests run and return status 500.
     Fail {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Share of the requests concerned.
+        /// Fraction of the requests affected, 0 to 1.
         #[serde(default = "always")]
         share: f64,
     },
     /// Requests are refused before they run.
     Refuse {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Share of the requests concerned.
+        /// Fraction of the requests affected, 0 to 1.
         #[serde(default = "always")]
         share: f64,
     },
-    /// Answers name the rate that the server takes; it serves what comes all the same.
+    /// Responses advertise a rate limit that the server does not enforce.
     NameLimit {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Requests a second from all hosts together.
+        /// Advertised limit in requests a second from all hosts together.
         rate: f64,
     },
-    /// Answers lack the mark of the server that ran the request.
+    /// Responses lack the header by which a server confirms that it ran the request.
     Unmarked {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
     },
-    /// Answers are held until the fault ends.
+    /// Responses are held back until the fault ends.
     Freeze {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
     },
-    /// Answers come late.
+    /// Responses are delayed.
     Late {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Share of the answers concerned.
+        /// Fraction of the responses affected, 0 to 1.
         #[serde(default = "always")]
         share: f64,
-        /// Delay of an answer in milliseconds.
+        /// Delay of a response in milliseconds.
         delay_ms: u64,
     },
-    /// Answers are cut within their body.
+    /// The connection is closed within the body of a response.
     Cut {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Share of the answers concerned.
+        /// Fraction of the responses affected, 0 to 1.
         #[serde(default = "always")]
         share: f64,
-        /// Bytes of the body that are sent.
+        /// Number of bytes of the body that are sent before the cut.
         after: u64,
     },
-    /// Requests run and their connection is closed without an answer.
+    /// Requests run, then their connection is closed without a response.
     LoseAnswers {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Share of the answers concerned.
+        /// Fraction of the responses affected, 0 to 1.
         #[serde(default = "always")]
         share: f64,
     },
-    /// A request is given the answer of an earlier request.
+    /// A request gets the response of an earlier request.
     Crossed {
-        /// Length of the fault in milliseconds.
+        /// Duration of the fault in milliseconds.
         for_ms: u64,
-        /// Share of the answers concerned.
+        /// Fraction of the responses affected, 0 to 1.
         #[serde(default = "always")]
         share: f64,
     },
@@ -108,33 +108,34 @@
     1.0
 }
 
-/// What befalls one answer.
+/// The faults that apply to one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Fate {
+pub(crate) struct ResponseFaults {
     pub(crate) delay: Millis,
-    pub(crate) cut: Option<u64>,
+    /// Number of bytes of the body after which the connection is closed.
+    pub(crate) cut_after: Option<u64>,
     pub(crate) lost: bool,
     pub(crate) crossed: bool,
     pub(crate) failed: bool,
     pub(crate) unmarked: bool,
 }
 
-/// The faults that are on.
+/// The active faults.
 #[derive(Debug)]
 pub(crate) struct TargetFaults {
-    on: Timed<TargetFault>,
+    timed: TimedFaults<TargetFault>,
     rng: Pcg64Mcg,
 }
 
 impl TargetFaults {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
-            on: Timed::default(),
+            timed: TimedFaults::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// Switches a fault on, beside those that are on.
+    /// Switches a fault on; active faults stay on. [`TargetFault::Cold`] and [`TargetFault::Leave`] are not kept here.
     pub(crate) fn add(&mut self, now: Millis, fault: TargetFault) {
         let for_ms = match &fault {
             TargetFault::Slow { for_ms, .. }
@@ -150,18 +151,18 @@
             | TargetFault::Crossed { for_ms, .. } => *for_ms,
             TargetFault::Cold { .. } | TargetFault::Leave => return,
         };
-        self.on.add(now + Millis(for_ms), fault);
+        self.timed.add(now + Millis(for_ms), fault);
     }
 
     /// Switches all faults off.
     pub(crate) fn clear(&mut self) {
-        self.on.clear();
+        self.timed.clear();
     }
 
-    /// Returns the factor on the service time.
-    pub(crate) fn factor(&mut self, now: Millis) -> f64 {
-        self.on
-            .at(now)
+    /// Returns the product of the active factors of the service time.
+    pub(crate) fn service_factor(&mut self, now: Millis) -> f64 {
+        self.timed
+            .active(now)
             .filter_map(|(_, f)| match f {
                 TargetFault::Slow { factor, .. } => Some(*factor),
                 _ => None,
@@ -169,48 +170,50 @@
             .product()
     }
 
-    /// Returns the rate that answers name.
-    pub(crate) fn limit(&mut self, now: Millis) -> Option<f64> {
-        self.on.at(now).find_map(|(_, f)| match f {
+    /// Returns the rate limit that responses advertise, in requests a second.
+    pub(crate) fn advertised_limit(&mut self, now: Millis) -> Option<f64> {
+        self.timed.active(now).find_map(|(_, f)| match f {
             TargetFault::NameLimit { rate, .. } => Some(*rate),
             _ => None,
         })
     }
 
-    /// Returns when the server hears calls about keys again, where it does not.
-    pub(crate) fn is_deaf(&mut self, now: Millis) -> Option<Millis> {
-        let mut on = self.on.at(now);
-        let deaf = on.find(|(_, f)| matches!(f, TargetFault::Deaf { .. }));
-        deaf.map(|(ends, _)| *ends)
+    /// Returns when the server accepts grants and releases again; `None` if it accepts them now.
+    pub(crate) fn key_calls_dropped_until(&mut self, now: Millis) -> Option<Millis> {
+        let mut active = self.timed.active(now);
+        let dropped = active.find(|(_, f)| matches!(f, TargetFault::Deaf { .. }));
+        dropped.map(|(ends_at, _)| *ends_at)
     }
 
-    /// Draws whether the next request is refused.
-    pub(crate) fn refuses(&mut self, now: Millis) -> bool {
-        let share = self.on.at(now).find_map(|(_, f)| match f {
+    /// Samples whether the next request is refused.
+    pub(crate) fn sample_refusal(&mut self, now: Millis) -> bool {
+        let share = self.timed.active(now).find_map(|(_, f)| match f {
             TargetFault::Refuse { share, .. } => Some(share.clamp(0.0, 1.0)),
             _ => None,
         });
         share.is_some_and(|s| self.rng.random_bool(s))
     }
 
-    /// Draws what befalls the next answer.
-    pub(crate) fn draw(&mut self, now: Millis) -> Fate {
-        let mut fate = Fate::default();
-        for (ends, fault) in self.on.at(now) {
-            let mut hit = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
+    /// Samples the faults of the next response.
+    pub(crate) fn sample(&mut self, now: Millis) -> ResponseFaults {
+        let mut faults = ResponseFaults::default();
+        for (ends_at, fault) in self.timed.active(now) {
+            let mut is_affected = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
             match fault {
-                TargetFault::Freeze { .. } => fate.delay = fate.delay.max(ends.since(now)),
+                TargetFault::Freeze { .. } => faults.delay = faults.delay.max(ends_at.since(now)),
                 TargetFault::Late {
                     share, delay_ms, ..
-                } if hit(share) => fate.delay = fate.delay.max(Millis(*delay_ms)),
-                TargetFault::Cut { share, after, .. } if hit(share) => fate.cut = Some(*after),
-                TargetFault::LoseAnswers { share, .. } if hit(share) => fate.lost = true,
-                TargetFault::Crossed { share, .. } if hit(share) => fate.crossed = true,
-                TargetFault::Fail { share, .. } if hit(share) => fate.failed = true,
-                TargetFault::Unmarked { .. } => fate.unmarked = true,
+                } if is_affected(share) => faults.delay = faults.delay.max(Millis(*delay_ms)),
+                TargetFault::Cut { share, after, .. } if is_affected(share) => {
+                    faults.cut_after = Some(*after)
+                }
+                TargetFault::LoseAnswers { share, .. } if is_affected(share) => faults.lost = true,
+                TargetFault::Crossed { share, .. } if is_affected(share) => faults.crossed = true,
+                TargetFault::Fail { share, .. } if is_affected(share) => faults.failed = true,
+                TargetFault::Unmarked { .. } => faults.unmarked = true,
                 _ => {}
             }
         }
-        fate
+        faults
     }
 }
--- a/crates/chicoryrail-testkit/src/target/holding.rs
+++ b/crates/chicoryrail-testkit/src/target/holding.rs
@@ -1,120 +1,119 @@
-//! What a server holds and how long.
+//! The key leases of a server: which keys it may serve, and until when.
 
 use chicoryrail_core::Millis;
 use chicoryrail_platform::KeyGrant;
 
-/// Number of keys.
+/// Number of keys of a service.
 const KEYS: usize = 1 << 16;
 
-/// A lower fence than one that was seen on a key of the call.
+/// The error of a grant whose fencing token is lower than one already seen on one of its keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FenceOld;
 
-/// What the server knows of one key.
+/// The fence and the lease of one key.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyState {
-    /// Highest fence seen.
-    seen: u64,
-    /// End of the hold.
-    until: Millis,
-    /// Number of the hold; one that was renewed in time keeps it.
-    hold: u64,
+    /// Highest fencing token seen.
+    highest_fence: u64,
+    /// End of the lease.
+    expires_at: Millis,
+    /// Id of the lease; a lease that is renewed before its end keeps its id.
+    lease: u64,
 }
 
-/// The keys of a server, on its own clock.
+/// The key leases of a server, timed by the server's own clock.
 ///
-/// A request runs only while its key is held. A key is held from the arrival of a grant until its length
-/// has passed or the key is released; a grant with a fence below the highest seen on one of its keys does
-/// nothing.
+/// A request runs only while the server owns its key: from the arrival of a grant until the lease's length has
+/// passed or the key is released. A grant whose fence is below the highest seen on one of its keys has no effect.
 #[derive(Clone, Debug)]
 pub struct Holding {
     keys: Vec<KeyState>,
-    holds: u64,
-    /// Ranges given up, whose running requests may still end.
+    last_lease: u64,
+    /// Released ranges, first and last key, whose running requests may still finish.
     draining: Vec<(u16, u16)>,
 }
 
-/// Leave to run, checked again when the run takes effect.
+/// Permission to run a request on a key; it is validated again before the run takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// Fence under which the key is held.
+    /// Fencing token of the key's lease.
     pub fence: u64,
-    hold: u64,
+    lease: u64,
 }
 
 impl Default for Holding {
     fn default() -> Self {
         Self {
             keys: vec![KeyState::default(); KEYS],
-            holds: 0,
+            last_lease: 0,
             draining: Vec::new(),
         }
     }
 }
 
 impl Holding {
-    /// Takes or renews keys.
+    /// Grants leases on keys or renews them.
     ///
     /// # Errors
     ///
-    /// Returns an error where a higher fence was seen on one of them.
+    /// Returns an error, and changes nothing, if a higher fence was seen on one of the keys.
     pub fn grant(&mut self, now: Millis, grant: &KeyGrant) -> Result<(), FenceOld> {
-        self.pass(grant)?;
-        self.holds += 1;
-        for key in &mut self.keys[range(grant)] {
-            if now >= key.until {
-                key.hold = self.holds;
+        self.check_fence(grant)?;
+        self.last_lease += 1;
+        for key in &mut self.keys[key_range(grant)] {
+            if now >= key.expires_at {
+                key.lease = self.last_lease;
             }
-            key.seen = grant.fence;
-            key.until = now + grant.hold;
+            key.highest_fence = grant.fence;
+            key.expires_at = now + grant.hold;
         }
         Ok(())
     }
 
-    /// Gives keys up, under whatever fence; the caller waits for the requests that run on them and then
-    /// calls [`Self::released`].
+    /// Releases keys, whatever the fence of the call: no new request runs on them. The caller waits for the running
+    /// requests to finish and then calls [`Self::finish_release`].
     pub fn release(&mut self, grant: &KeyGrant) {
-        for key in &mut self.keys[range(grant)] {
-            key.seen = key.seen.max(grant.fence);
-            key.until = Millis::ZERO;
+        for key in &mut self.keys[key_range(grant)] {
+            key.highest_fence = key.highest_fence.max(grant.fence);
+            key.expires_at = Millis::ZERO;
         }
         self.draining.push((grant.first, grant.last));
     }
 
-    /// Notes that no request runs on released keys any more.
-    pub fn released(&mut self, grant: &KeyGrant) {
-        let gone = (grant.first, grant.last);
-        self.draining.retain(|d| *d != gone);
+    /// Records that no request runs on the released keys any more.
+    pub fn finish_release(&mut self, grant: &KeyGrant) {
+        let released = (grant.first, grant.last);
+        self.draining.retain(|d| *d != released);
     }
 
-    /// Returns leave to run where the key is held at `now`.
+    /// Returns permission to run a request if the server owns the key at `now`.
     #[must_use]
-    pub fn may_run(&self, now: Millis, key: u16) -> Option<Permit> {
+    pub fn permit_run(&self, now: Millis, key: u16) -> Option<Permit> {
         let state = self.keys[usize::from(key)];
-        (now < state.until).then_some(Permit {
-            fence: state.seen,
-            hold: state.hold,
+        (now < state.expires_at).then_some(Permit {
+            fence: state.highest_fence,
+            lease: state.lease,
         })
     }
 
-    /// Tells whether a run may take effect: the server may have been paused within it, and the key may
-    /// have gone to another server and come back since.
+    /// Returns `true` if a run may still take effect. The server may have been paused during the run, and the key may
+    /// have been granted to another server and granted back since; then the lease has another id.
     #[must_use]
-    pub fn may_finish(&self, now: Millis, key: u16, permit: Permit) -> bool {
+    pub fn may_take_effect(&self, now: Millis, key: u16, permit: Permit) -> bool {
         let state = self.keys[usize::from(key)];
-        let drains = self.draining.iter().any(|(a, b)| (*a..=*b).contains(&key));
-        state.hold == permit.hold && (now < state.until || drains)
+        let is_draining = self.draining.iter().any(|(a, b)| (*a..=*b).contains(&key));
+        state.lease == permit.lease && (now < state.expires_at || is_draining)
     }
 
-    fn pass(&self, grant: &KeyGrant) -> Result<(), FenceOld> {
-        let older = |key: &KeyState| key.seen > grant.fence;
-        if self.keys[range(grant)].iter().any(older) {
+    fn check_fence(&self, grant: &KeyGrant) -> Result<(), FenceOld> {
+        let has_newer_fence = |key: &KeyState| key.highest_fence > grant.fence;
+        if self.keys[key_range(grant)].iter().any(has_newer_fence) {
             return Err(FenceOld);
         }
         Ok(())
     }
 }
 
-fn range(grant: &KeyGrant) -> std::ops::RangeInclusive<usize> {
+fn key_range(grant: &KeyGrant) -> std::ops::RangeInclusive<usize> {
     usize::from(grant.first)..=usize::from(grant.last)
 }
--- a/crates/chicoryrail-testkit/src/target/ledger.rs
+++ b/crates/chicoryrail-testkit/src/target/ledger.rs
@@ -1,4 +1,4 @@
-//! What a target saw: the material of the checker.
+//! The record of the requests that a target ran, which the checker evaluates.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -10,11 +10,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Runs kept in memory; the file holds them all.
-const RUNS_KEPT: usize = 200_000;
+/// Largest number of runs kept in memory; the file holds all of them.
+const RUNS_MAX: usize = 200_000;
 
-/// Overruns kept.
-const OVERRUNS_KEPT: usize = 1_000;
+/// Largest number of overruns of each kind kept in memory; the file holds all of them.
+const OVERRUNS_MAX: usize = 1_000;
 
 /// A request that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,83 +23,83 @@
     pub server: String,
     /// Service of the server.
     pub service: String,
-    /// Key, for a keyed service.
+    /// Key of the request; `None` for a service without keys.
     pub key: Option<u16>,
     /// Id of the request.
     pub request: String,
-    /// Whether the request must run at most once.
+    /// Whether the request is an order, which must run at most once.
     pub order: bool,
-    /// Organisation that the host named.
+    /// Organisation named by the host, if any.
     #[serde(default)]
     pub organisation: Option<String>,
-    /// Whether the API key came along, which no server may see.
+    /// Whether the request carried the caller's API key, which must not reach a server.
     #[serde(default)]
     pub key_leaked: bool,
-    /// Fence under which the server held the key.
+    /// Fencing token of the server's lease on the key; `None` for a service without keys.
     pub fence: Option<u64>,
-    /// Wall-clock start of the run in microseconds.
+    /// Start of the run in microseconds since 1970.
     pub start: u64,
-    /// Wall-clock end of the run in microseconds: the moment when it took effect.
+    /// End of the run in microseconds since 1970: the time at which it took effect.
     pub end: u64,
 }
 
-/// A cold server was given more than it can bear.
+/// More requests arrived at a server that is warming up than it can serve.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Overrun {
     /// Name of the server.
     pub server: String,
-    /// Wall-clock time in microseconds.
+    /// Time of the last arrival in microseconds since 1970.
     pub time: u64,
-    /// Time since the cold phase began in milliseconds.
+    /// Time since the start of the warm-up in milliseconds.
     pub cold_ms: u64,
-    /// Requests that arrived in the second before.
+    /// Number of requests that arrived in the last second.
     pub arrived: u32,
-    /// Requests that it bears in a second.
+    /// Number of requests that may arrive in a second.
     pub bears: u32,
 }
 
-/// A server that names how many requests a second it takes was given more.
+/// More requests arrived at a server than the rate limit that it advertises allows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitOverrun {
     /// Name of the server.
     pub server: String,
-    /// Wall-clock time in microseconds.
+    /// Time of the last arrival in microseconds since 1970.
     pub time: u64,
-    /// Time since it first named its limit in milliseconds.
+    /// Time since the server first advertised a limit, in milliseconds.
     pub limited_ms: u64,
-    /// Requests that arrived in the window before.
+    /// Number of requests that arrived in the last window.
     pub arrived: u32,
-    /// Requests that may arrive in a window.
+    /// Number of requests that may arrive in a window.
     pub allowed: u32,
 }
 
-/// The whole record, as `GET /testkit/ledger` shows it.
+/// The record of a target; the JSON response to `GET /testkit/ledger`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Requests that took effect, oldest first; bounded.
+    /// Requests that took effect, oldest first. A target keeps the last 200,000.
     pub runs: VecDeque<Run>,
-    /// Overruns while cold; bounded.
+    /// Overruns during warm-ups. A target keeps the first 1,000.
     pub overruns: Vec<Overrun>,
-    /// Overruns while limited; bounded.
+    /// Overruns of the advertised rate limit. A target keeps the first 1,000.
     #[serde(default)]
     pub limit_overruns: Vec<LimitOverrun>,
-    /// Requests that took effect, in all.
+    /// Total number of requests that took effect.
     pub done: u64,
-    /// Requests refused because the server does not hold the key.
+    /// Requests refused because the server does not own the key.
     pub not_held: u64,
     /// Requests shed because the queue was full.
     pub shed: u64,
     /// Requests not run because their deadline had passed.
     pub late: u64,
-    /// Requests cancelled.
+    /// Lookups cancelled because their caller disconnected.
     pub cancelled: u64,
-    /// Grants obeyed.
+    /// Grants applied.
     pub grants: u64,
-    /// Releases obeyed.
+    /// Releases applied.
     pub releases: u64,
-    /// Highest number of requests in flight, queued ones too.
+    /// Highest number of requests in flight, including queued ones.
     pub max_busy: u32,
-    /// Connections closed because of the limit.
+    /// Connections closed because of the limit on open connections.
     pub connections_refused: u64,
 }
 
@@ -113,13 +113,13 @@
 }
 
 impl Ledger {
-    /// Reads back the runs and overruns of a ledger's file.
+    /// Reads the runs and overruns from a ledger's file; the other counters stay 0.
     ///
-    /// A line that a kill cut short stands last and is left out.
+    /// An unterminated last line, left by a process that was killed while it wrote, is ignored.
     ///
     /// # Errors
     ///
-    /// Returns the system's error, and `InvalidData` for a wrong line that is not the last.
+    /// Returns the system's error, or `InvalidData` or `UnexpectedEof` for a terminated line that can't be parsed.
     pub fn read(path: &Path) -> io::Result<Self> {
         let text = std::fs::read_to_string(path)?;
         let mut ledger = Self::default();
@@ -135,9 +135,9 @@
     }
 }
 
-/// Writes the ledger, to a file too where one is given.
+/// Records the ledger in memory and, if a path is given, in a file.
 ///
-/// A file line is written at once, so that what ran before a kill is on record.
+/// Each line is written to the file at once, so that a run before a kill is not lost.
 #[derive(Debug, Default)]
 pub(crate) struct Recorder {
     pub(crate) ledger: Ledger,
@@ -145,7 +145,7 @@
 }
 
 impl Recorder {
-    /// Opens the recorder; a file that exists is continued.
+    /// Opens the recorder; appends to a file that exists.
     pub(crate) fn open(path: Option<&Path>) -> io::Result<Self> {
         let file = path
             .map(|p| OpenOptions::new().create(true).append(true).open(p))
@@ -156,25 +156,25 @@
         })
     }
 
-    pub(crate) fn run(&mut self, run: Run) {
+    pub(crate) fn record_run(&mut self, run: Run) {
         self.ledger.done += 1;
         self.write(&Line::Run(run.clone()));
-        if self.ledger.runs.len() == RUNS_KEPT {
+        if self.ledger.runs.len() == RUNS_MAX {
             self.ledger.runs.pop_front();
         }
         self.ledger.runs.push_back(run);
     }
 
-    pub(crate) fn overrun(&mut self, overrun: Overrun) {
+    pub(crate) fn record_overrun(&mut self, overrun: Overrun) {
         self.write(&Line::Overrun(overrun.clone()));
-        if self.ledger.overruns.len() < OVERRUNS_KEPT {
+        if self.ledger.overruns.len() < OVERRUNS_MAX {
             self.ledger.overruns.push(overrun);
         }
     }
 
-    pub(crate) fn limit_overrun(&mut self, overrun: LimitOverrun) {
+    pub(crate) fn record_limit_overrun(&mut self, overrun: LimitOverrun) {
         self.write(&Line::LimitOverrun(overrun.clone()));
-        if self.ledger.limit_overruns.len() < OVERRUNS_KEPT {
+        if self.ledger.limit_overruns.len() < OVERRUNS_MAX {
             self.ledger.limit_overruns.push(overrun);
         }
     }
--- a/crates/chicoryrail-testkit/src/target/options.rs
+++ b/crates/chicoryrail-testkit/src/target/options.rs
@@ -1,4 +1,4 @@
-//! Settings of a target.
+//! Options of a target.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,41 +8,41 @@
 use chicoryrail_core::ServerName;
 use chicoryrail_core::ServiceName;
 
-/// Settings of a target.
+/// Options of a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetOptions {
     /// Name of the server.
     pub name: ServerName,
-    /// Service that it belongs to.
+    /// Service that the server belongs to.
     pub service: ServiceName,
-    /// Data centre that it stands in.
+    /// Data centre of the server.
     pub dc: DcName,
-    /// Requests that run at the same time.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Requests that wait for a slot; one more is refused.
+    /// Length of the queue for slots; a request that arrives when it is full is refused.
     pub queue: u32,
-    /// Connections accepted at a time.
+    /// Largest number of open connections; further ones are closed at once.
     pub connections: u32,
-    /// Whether each request has a key that the server must hold.
+    /// Whether each request has a key that the server must own.
     pub keyed: bool,
-    /// Service time in microseconds.
+    /// Service time of a request that names none, in microseconds.
     pub service_us: u64,
-    /// Length of a cold start.
+    /// Length of a warm-up.
     pub cold_ms: Millis,
-    /// Requests that it bears in any second while it is cold.
+    /// Number of requests that may arrive in a second during a warm-up; more are recorded as an overrun.
     pub cold_bears: u32,
-    /// Store in which it registers; it stays unregistered where `None`.
+    /// Address of the store in which the server registers; `None` if it does not register.
     pub store: Option<SocketAddr>,
-    /// Address that it registers; its own where `None`.
+    /// Address that the server registers; `None` for the address that it listens on.
     pub shown: Option<SocketAddr>,
-    /// File that every run is written to.
+    /// File to which each run and overrun is appended; `None` for no file.
     pub ledger: Option<PathBuf>,
-    /// Seed of the faults that strike a share of the answers.
+    /// Seed of the random choice of the requests that a fault affects.
     pub seed: u64,
 }
 
 impl TargetOptions {
-    /// Returns the settings of a warm server with 2 slots and without keys.
+    /// Returns the options of a server with 2 slots, without keys and without a warm-up.
     #[must_use]
     pub fn new(name: &str) -> Self {
         Self {
--- a/crates/chicoryrail-testkit/src/target/presence.rs
+++ b/crates/chicoryrail-testkit/src/target/presence.rs
@@ -1,4 +1,4 @@
-//! The server's entry in the store.
+//! The registration of the server: its entry in the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,49 +14,50 @@
 
 use crate::target::state::State;
 
-/// Lease of the entry; a server that is lost is gone from the store after it.
-const LEASE: Millis = Millis(2_000);
+/// Time to live of the entry's store lease. The entry of a server that fails disappears after it.
+const LEASE_TTL: Millis = Millis(2_000);
 
-/// Wait between two renewals, and after a call that failed.
-const RENEW: Millis = Millis(500);
+/// Interval between lease renewals, and delay before a retry after a failed call.
+const RENEWAL_INTERVAL: Millis = Millis(500);
 
-/// Wait between two looks at whether there is something new to tell.
-const LOOK: Millis = Millis(20);
+/// Interval between checks for a change of the advertised state.
+const POLL_INTERVAL: Millis = Millis(20);
 
-/// Keeps the entry of the server at `addr`, and writes it anew when the server turns cold or leaves.
-pub(crate) async fn be_present(state: Rc<State>, store: KvStore, addr: SocketAddr) {
+/// Maintains the entry of the server at `addr`; never returns.
+pub(crate) async fn maintain_entry(state: Rc<State>, store: KvStore, addr: SocketAddr) {
     loop {
         if let Err(e) = register(&state, &store, addr).await {
-            log::info!("{}: entry lost: {e}", state.options.name);
-            monoio::time::sleep(RENEW.duration()).await;
+            log::info!("{}: store entry lost: {e}", state.options.name);
+            monoio::time::sleep(RENEWAL_INTERVAL.duration()).await;
         }
     }
 }
 
-/// Writes the entry under a new lease and keeps it until a call fails.
+/// Writes the entry under a new lease and renews it until a call to the store fails. Writes the entry again when the
+/// server starts a warm-up or starts to drain.
 async fn register(state: &State, store: &KvStore, addr: SocketAddr) -> Result<(), StoreError> {
-    let lease = store.open_lease(LEASE).await?;
+    let lease = store.open_lease(LEASE_TTL).await?;
     loop {
-        let told = state.told();
+        let advertised = state.advertised();
         let member = Member {
-            life: Life::new(state.options.name.clone(), state.born()),
+            life: Life::new(state.options.name.clone(), state.started_unix_ms()),
             service: state.options.service.clone(),
             addr,
             dc: state.options.dc.clone(),
             slots: state.options.slots,
-            state: told.state,
-            cold: state.cold_left(),
+            state: advertised.state,
+            cold: state.warmup_left(),
         };
         let value = write_member(&member).unwrap_or_default();
         let key = Subject::Server(state.options.name.clone()).key();
         let txn = Txn::default().put_leased(&key.unwrap_or_default(), &value, lease.id);
         store.commit(&txn).await?;
-        let mut kept = state.now();
-        while state.told() == told {
-            monoio::time::sleep(LOOK.duration()).await;
-            if state.now().since(kept) >= RENEW {
+        let mut renewed_at = state.now();
+        while state.advertised() == advertised {
+            monoio::time::sleep(POLL_INTERVAL.duration()).await;
+            if state.now().since(renewed_at) >= RENEWAL_INTERVAL {
                 store.keep_lease(lease.id).await?;
-                kept = state.now();
+                renewed_at = state.now();
             }
         }
     }
--- /dev/null
+++ b/crates/chicoryrail-testkit/src/target/response.rs
@@ -0,0 +1,159 @@
+//! Response bodies that name their request, so that a caller can check that a response is complete and its own.
+
+use std::io;
+use std::pin::Pin;
+use std::sync::LazyLock;
+use std::task::Context;
+use std::task::Poll;
+use std::task::ready;
+
+use bytes::Bytes;
+use chicoryrail_core::Millis;
+use hyper::body::Body;
+use hyper::body::Frame;
+use hyper::body::SizeHint;
+use monoio::time::Sleep;
+use monoio::time::sleep;
+use serde::Deserialize;
+use serde::Serialize;
+
+/// Size of one frame of a long body in bytes.
+const CHUNK_BYTES: u64 = 16 << 10;
+
+/// Delay before a body fails, in which the bytes before the cut are written.
+const FLUSH_DELAY: Millis = Millis(20);
+
+/// The first line of a response's body, in JSON.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct AnswerHead {
+    /// Id of the request.
+    pub request: String,
+    /// Path of the request.
+    pub path: String,
+    /// Name of the server that responds.
+    pub server: String,
+    /// Number of filler bytes after the line.
+    pub length: u64,
+}
+
+impl AnswerHead {
+    /// Parses the first line of a body and verifies that the filler after it is complete and belongs to this request;
+    /// `None` if it is not.
+    #[must_use]
+    pub fn check(body: &[u8]) -> Option<Self> {
+        let end = body.iter().position(|b| *b == b'\n')?;
+        let head: Self = serde_json::from_slice(&body[..end]).ok()?;
+        let filler = &body[end + 1..];
+        let mut offset = head.filler_offset();
+        let is_complete = filler.len() as u64 == head.length
+            && filler.chunks(CHUNK_BYTES as usize).all(|chunk| {
+                let is_expected = *chunk == filler_at(offset, chunk.len() as u64);
+                offset += chunk.len() as u64;
+                is_expected
+            });
+        is_complete.then_some(head)
+    }
+
+    /// Returns the position in the alphabet at which the filler of this request starts.
+    fn filler_offset(&self) -> u64 {
+        let sum: u64 = self.request.bytes().map(u64::from).sum();
+        sum % 26
+    }
+}
+
+/// Returns `count` letters, at most [`CHUNK_BYTES`], of the endlessly repeated alphabet from position `offset`.
+fn filler_at(offset: u64, count: u64) -> Bytes {
+    static ALPHABET: LazyLock<Bytes> = LazyLock::new(|| {
+        (0..CHUNK_BYTES + 26)
+            .map(|i| b'a' + (i % 26) as u8)
+            .collect()
+    });
+    let first = (offset % 26) as usize;
+    ALPHABET.slice(first..first + count as usize)
+}
+
+/// A response body of a first line and filler, generated chunk by chunk.
+pub(crate) struct Filler {
+    head: Option<Bytes>,
+    /// Position in the alphabet of the first filler byte.
+    offset: u64,
+    /// Number of filler bytes generated so far.
+    sent: u64,
+    length: u64,
+    chunked: bool,
+    /// Number of bytes left before the body fails; `None` if it does not fail.
+    cut_after: Option<u64>,
+    /// Delay before the failure. When a body fails, the HTTP layer drops the bytes that it has not yet written.
+    flush_delay: Option<Pin<Box<Sleep>>>,
+}
+
+impl Filler {
+    pub(crate) fn new(head: &AnswerHead, chunked: bool, cut_after: Option<u64>) -> Self {
+        let mut line = serde_json::to_vec(head).unwrap_or_default();
+        line.push(b'\n');
+        Self {
+            head: Some(line.into()),
+            offset: head.filler_offset(),
+            sent: 0,
+            length: head.length,
+            chunked,
+            cut_after,
+            flush_delay: None,
+        }
+    }
+
+    fn remaining(&self) -> u64 {
+        self.head.as_ref().map_or(0, |h| h.len() as u64) + self.length - self.sent
+    }
+
+    fn next_chunk(&mut self) -> Option<Bytes> {
+        if let Some(head) = self.head.take() {
+            return Some(head);
+        }
+        let size = (self.length - self.sent).min(CHUNK_BYTES);
+        if size == 0 {
+            return None;
+        }
+        let chunk = filler_at(self.offset + self.sent, size);
+        self.sent += size;
+        Some(chunk)
+    }
+}
+
+impl Body for Filler {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        if self.cut_after == Some(0) {
+            let flush_delay = self
+                .flush_delay
+                .get_or_insert_with(|| Box::pin(sleep(FLUSH_DELAY.duration())));
+            ready!(flush_delay.as_mut().poll(context));
+            return Poll::Ready(Some(Err(io::Error::other("fault: cut"))));
+        }
+        let Some(mut chunk) = self.next_chunk() else {
+            return Poll::Ready(None);
+        };
+        if let Some(left) = &mut self.cut_after {
+            chunk.truncate(*left as usize);
+            *left -= chunk.len() as u64;
+        }
+        Poll::Ready(Some(Ok(Frame::data(chunk))))
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.remaining() == 0 && self.cut_after.is_none()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        if self.chunked {
+            SizeHint::default()
+        } else {
+            SizeHint::with_exact(self.remaining())
+        }
+    }
+}
--- a/crates/chicoryrail-testkit/src/target/server.rs
+++ b/crates/chicoryrail-testkit/src/target/server.rs
@@ -24,27 +24,28 @@
 use crate::Listener;
 use crate::TargetFault;
 use crate::TargetOptions;
-use crate::target::presence::be_present;
+use crate::target::presence::maintain_entry;
 use crate::target::state::State;
 use crate::target::work;
 
-/// Wait between two looks at the requests in flight.
-const LOOK: Millis = Millis(2);
+/// Interval between checks of whether requests still run on released keys.
+const POLL_INTERVAL: Millis = Millis(2);
 
-/// Largest body of a call taken, in bytes.
-const CALL_MOST: usize = 1 << 20;
+/// Largest accepted body of a control call in bytes.
+const CALL_BODY_MAX_BYTES: usize = 1 << 20;
 
 /// The stand-in of a target; clones share its state.
 ///
 /// | call | effect |
 /// |---|---|
-/// | `POST /-/grant`, `/-/release` | keys, as `chicoryrail-platform` writes them |
-/// | `PUT`, `DELETE /testkit/fault` | a [`TargetFault`] on; all off |
-/// | `GET /testkit/ledger` | [`Ledger`] |
-/// | any other | work |
+/// | `POST /-/grant`, `/-/release` | grants or releases keys, in the encoding of `chicoryrail-platform` |
+/// | `PUT /testkit/fault` | switches a [`TargetFault`] on |
+/// | `DELETE /testkit/fault` | switches all faults off |
+/// | `GET /testkit/ledger` | returns the [`Ledger`] |
+/// | any other | runs as a caller's request |
 ///
-/// Work takes the parameters `work_us` (service time), `body` (bytes after the first line) and
-/// `chunked=1`. The answer's body starts with a line of JSON that names the request
+/// A caller's request has the query parameters `work_us` (service time in microseconds), `body` (bytes after the
+/// first line) and `chunked=1`. The response's body starts with a line of JSON that names the request
 /// ([`crate::AnswerHead`]).
 #[derive(Clone, Debug)]
 pub struct TargetServer {
@@ -52,38 +53,37 @@
 }
 
 impl TargetServer {
-    /// Opens the ledger and starts to serve on the current runtime until `stop` is cancelled.
+    /// Opens the ledger and spawns the server on the current runtime, where it serves until `stop` is cancelled.
     ///
     /// # Errors
     ///
-    /// Returns the system's error where the ledger's file can't be opened or the listener has no
-    /// address.
+    /// Returns the system's error if the ledger's file can't be opened or the listener's address can't be read.
     pub fn start(
         options: TargetOptions,
         listener: Listener,
         stop: CancellationToken,
     ) -> io::Result<Self> {
-        let listener = listener.with_connections(options.connections);
-        let shown = options.shown.map_or_else(|| listener.addr(), Ok)?;
+        let listener = listener.with_max_connections(options.connections);
+        let advertised_addr = options.shown.map_or_else(|| listener.addr(), Ok)?;
         let store = options.store.map(KvStore::new);
-        let state = Rc::new(State::new(options, listener.refused())?);
+        let state = Rc::new(State::new(options, listener.refused_connections())?);
         if let Some(store) = store {
-            monoio::spawn(be_present(Rc::clone(&state), store, shown));
+            monoio::spawn(maintain_entry(Rc::clone(&state), store, advertised_addr));
         }
         let this = Self { state };
-        let own = this.clone();
+        let server = this.clone();
         monoio::spawn(listener.serve(stop, move |request| {
-            let own = own.clone();
-            async move { own.answer(request).await }
+            let server = server.clone();
+            async move { server.respond(request).await }
         }));
         Ok(this)
     }
 
-    /// Starts as [`Self::start`] and returns when `stop` was cancelled.
+    /// Starts the server like [`Self::start`] and returns when `stop` is cancelled.
     ///
     /// # Errors
     ///
-    /// As [`Self::start`].
+    /// Returns the errors of [`Self::start`].
     pub async fn serve(
         options: TargetOptions,
         listener: Listener,
@@ -97,47 +97,47 @@
     /// Switches a fault on.
     pub fn fault(&self, fault: TargetFault) {
         match fault {
-            TargetFault::Cold { for_ms } => self.state.turn_cold(for_ms.map(Millis)),
-            TargetFault::Leave => self.state.leave(),
+            TargetFault::Cold { for_ms } => self.state.start_warmup(for_ms.map(Millis)),
+            TargetFault::Leave => self.state.start_draining(),
             _ => {}
         }
         let now = self.state.now();
         self.state.faults.borrow_mut().add(now, fault);
     }
 
-    /// Returns what the server saw.
+    /// Returns a copy of the ledger.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         let mut recorder = self.state.recorder.borrow_mut();
-        recorder.ledger.connections_refused = self.state.refused.get();
+        recorder.ledger.connections_refused = self.state.refused_connections.get();
         recorder.ledger.clone()
     }
 
-    /// Tells whether the server holds a key now.
+    /// Returns `true` if the server's lease on the key is unexpired.
     #[must_use]
     pub fn holds(&self, key: u16) -> bool {
         let holding = self.state.holding.borrow();
-        holding.may_run(self.state.now(), key).is_some()
+        holding.permit_run(self.state.now(), key).is_some()
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
         let expected = call_header::text(request.headers(), &call_header::EXPECTED_SERVER);
         if expected.is_some_and(|e| e != self.state.options.name.as_str()) {
-            return Ok(work::misdirected(&self.state, request.headers()));
+            return Ok(work::refuse_misdirected(&self.state, request.headers()));
         }
         let path = request.uri().path();
         if path.starts_with("/-/") || path.starts_with("/testkit/") {
             return self.control(request).await;
         }
-        work::answer(Rc::clone(&self.state), request).await
+        work::respond(Rc::clone(&self.state), request).await
     }
 
     async fn control(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
         let path = request.uri().path().to_owned();
         let method = request.method().clone();
-        let body = body(request).await;
+        let body = read_body(request).await;
         match KeyCall::read(&path, &body) {
-            Some(Ok(call)) => return self.keys(call).await,
+            Some(Ok(call)) => return self.handle_key_call(call).await,
             Some(Err(e)) => return Ok(error_answer(400, &e.to_string())),
             None => {}
         }
@@ -158,47 +158,48 @@
         })
     }
 
-    async fn keys(&self, call: KeyCall) -> Result<Response<Body>, Cut> {
+    async fn handle_key_call(&self, call: KeyCall) -> Result<Response<Body>, Cut> {
         let now = self.state.now();
-        let deaf = self.state.faults.borrow_mut().is_deaf(now);
-        if let Some(until) = deaf {
+        let dropped_until = self.state.faults.borrow_mut().key_calls_dropped_until(now);
+        if let Some(until) = dropped_until {
             monoio::time::sleep(until.since(now).duration()).await;
             return Err(Cut);
         }
-        let (done, is_grant) = match call {
+        let (result, is_grant) = match call {
             KeyCall::Grant(grant) => {
-                let done = self.state.holding.borrow_mut().grant(now, &grant);
-                (done, true)
+                let result = self.state.holding.borrow_mut().grant(now, &grant);
+                (result, true)
             }
             KeyCall::Release(grant) => {
                 self.release(&grant).await;
                 (Ok(()), false)
             }
         };
-        if done.is_ok() {
+        if result.is_ok() {
             let mut recorder = self.state.recorder.borrow_mut();
             recorder.ledger.grants += u64::from(is_grant);
             recorder.ledger.releases += u64::from(!is_grant);
         }
-        let status = if done.is_ok() { 200 } else { 409 };
-        let mut answer = json_answer(status, &());
-        if done.is_ok() {
+        let status = if result.is_ok() { 200 } else { 409 };
+        let mut response = json_answer(status, &());
+        if result.is_ok() {
             let token = http::HeaderValue::from_static("handover");
-            answer.headers_mut().insert(call_header::HANDOVER, token);
+            response.headers_mut().insert(call_header::HANDOVER, token);
         }
-        Ok(answer)
+        Ok(response)
     }
 
+    /// Releases keys and waits until the requests that run on them have ended.
     async fn release(&self, grant: &KeyGrant) {
         self.state.holding.borrow_mut().release(grant);
-        while self.state.runs_on(grant.first, grant.last) {
-            monoio::time::sleep(LOOK.duration()).await;
+        while self.state.has_running(grant.first, grant.last) {
+            monoio::time::sleep(POLL_INTERVAL.duration()).await;
         }
-        self.state.holding.borrow_mut().released(grant);
+        self.state.holding.borrow_mut().finish_release(grant);
     }
 }
 
-async fn body(request: Request<Incoming>) -> Bytes {
-    let body = collect(request.into_body(), CALL_MOST).await;
+async fn read_body(request: Request<Incoming>) -> Bytes {
+    let body = collect(request.into_body(), CALL_BODY_MAX_BYTES).await;
     body.unwrap_or_default()
 }
--- a/crates/chicoryrail-testkit/src/target/slots.rs
+++ b/crates/chicoryrail-testkit/src/target/slots.rs
@@ -1,4 +1,4 @@
-//! Slots and the short queue before them.
+//! The slots of a server and the bounded queue of requests that wait for one.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -8,22 +8,23 @@
 use chicoryrail_runtime::CancellationToken;
 use monoio::time::timeout;
 
-/// Why a request got no slot.
+/// The reason why a request got no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoSlot {
     /// The queue is full.
     Shed,
-    /// The deadline passed in the queue.
-    Late,
+    /// The request's time ran out in the queue.
+    TimedOut,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     busy: u32,
-    waiting: VecDeque<CancellationToken>,
+    /// One token for each queued request, oldest first; it is cancelled when the request gets a slot.
+    queued: VecDeque<CancellationToken>,
 }
 
-/// Slots of a server; clones share them.
+/// The slots of a server and the queue for them; clones share both.
 #[derive(Clone, Debug)]
 pub(crate) struct Slots {
     slots: u32,
@@ -31,7 +32,7 @@
     inner: Rc<RefCell<Inner>>,
 }
 
-/// A slot held; dropping it passes it to the next in the queue.
+/// An acquired slot. Dropping it passes it to the first queued request.
 #[derive(Debug)]
 pub(crate) struct Slot(Slots);
 
@@ -44,44 +45,51 @@
         }
     }
 
-    /// Returns the requests that run.
+    /// Returns the number of slots in use.
     pub(crate) fn busy(&self) -> u32 {
         self.inner.borrow().busy
     }
 
-    /// Returns the requests that wait.
+    /// Returns the number of queued requests.
     pub(crate) fn queued(&self) -> u32 {
-        self.inner.borrow().waiting.len() as u32
+        self.inner.borrow().queued.len() as u32
     }
 
-    /// Takes a slot, waiting in the queue at most `limit`.
-    pub(crate) async fn take(&self, limit: Millis) -> Result<Slot, NoSlot> {
-        let turn = {
+    /// Acquires a slot, waiting in the queue for at most `limit`.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if there is no slot.
+    pub(crate) async fn acquire(&self, limit: Millis) -> Result<Slot, NoSlot> {
+        let granted = {
             let mut inner = self.inner.borrow_mut();
             if inner.busy < self.slots {
                 inner.busy += 1;
                 return Ok(Slot(self.clone()));
             }
-            if inner.waiting.len() >= self.queue as usize {
+            if inner.queued.len() >= self.queue as usize {
                 return Err(NoSlot::Shed);
             }
-            let turn = CancellationToken::new();
-            inner.waiting.push_back(turn.clone());
-            turn
+            let granted = CancellationToken::new();
+            inner.queued.push_back(granted.clone());
+            granted
         };
-        let mut waiter = Waiter { slots: self, turn };
-        let came = timeout(limit.duration(), waiter.turn.cancelled()).await;
-        if came.is_ok() || waiter.turn.is_cancelled() {
-            waiter.turn = CancellationToken::new();
+        let mut waiter = Waiter {
+            slots: self,
+            granted,
+        };
+        let waited = timeout(limit.duration(), waiter.granted.cancelled()).await;
+        if waited.is_ok() || waiter.granted.is_cancelled() {
+            waiter.granted = CancellationToken::new();
             return Ok(Slot(self.clone()));
         }
-        Err(NoSlot::Late)
+        Err(NoSlot::TimedOut)
     }
 
-    fn give_back(&self) {
+    fn release(&self) {
         let mut inner = self.inner.borrow_mut();
-        match inner.waiting.pop_front() {
-            Some(turn) => turn.cancel(),
+        match inner.queued.pop_front() {
+            Some(granted) => granted.cancel(),
             None => inner.busy -= 1,
         }
     }
@@ -89,26 +97,26 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.0.give_back();
+        self.0.release();
     }
 }
 
-/// A place in the queue, given up when the wait ends in any way.
+/// A place in the queue. Dropping it leaves the queue, or releases a slot that was granted meanwhile.
 struct Waiter<'a> {
     slots: &'a Slots,
-    turn: CancellationToken,
+    granted: CancellationToken,
 }
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        if self.turn.is_cancelled() {
-            // The slot was passed on while the wait was being given up.
-            self.slots.give_back();
+        if self.granted.is_cancelled() {
+            // The slot was granted while the wait was being abandoned.
+            self.slots.release();
             return;
         }
         let mut inner = self.slots.inner.borrow_mut();
-        // Tokens have no identity to compare, so a waiter cancels its own and the queue drops it.
-        self.turn.cancel();
-        inner.waiting.retain(|t| !t.is_cancelled());
+        // Tokens can't be compared, so a waiter cancels its own, and the queue drops the cancelled one.
+        self.granted.cancel();
+        inner.queued.retain(|t| !t.is_cancelled());
     }
 }
--- a/crates/chicoryrail-testkit/src/target/state.rs
+++ b/crates/chicoryrail-testkit/src/target/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a target share.
+//! The state that the tasks of a target share.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,15 +14,15 @@
 use crate::LimitOverrun;
 use crate::Overrun;
 use crate::TargetOptions;
-use crate::target::answer::AnswerHead;
-use crate::target::cold::Cold;
 use crate::target::fault::TargetFaults;
 use crate::target::ledger::Recorder;
-use crate::target::limited::Limited;
+use crate::target::limit_check::LimitCheck;
+use crate::target::response::AnswerHead;
 use crate::target::slots::Slots;
+use crate::target::warmup::WarmUp;
 use crate::wall_micros;
 
-/// The state of a target; its tasks run on one thread.
+/// The state of a target, shared by its tasks on one thread.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) options: TargetOptions,
@@ -30,147 +30,160 @@
     pub(crate) holding: RefCell<Holding>,
     pub(crate) recorder: RefCell<Recorder>,
     pub(crate) faults: RefCell<TargetFaults>,
-    pub(crate) last_answer: RefCell<Option<AnswerHead>>,
-    pub(crate) refused: Rc<Cell<u64>>,
+    pub(crate) last_response: RefCell<Option<AnswerHead>>,
+    pub(crate) refused_connections: Rc<Cell<u64>>,
     clock: Clock,
-    /// Wall clock at the start, in milliseconds.
-    born: u64,
-    cold: RefCell<Cold>,
-    told: Cell<Told>,
-    limited: RefCell<Limited>,
-    flights: RefCell<BTreeMap<u64, Flight>>,
-    tickets: Cell<u64>,
+    /// Start of the process in milliseconds since 1970.
+    started_unix_ms: u64,
+    warmup: RefCell<WarmUp>,
+    advertised: Cell<Advertised>,
+    limit_check: RefCell<LimitCheck>,
+    /// Accepted requests by id.
+    in_flight: RefCell<BTreeMap<u64, InFlight>>,
+    last_id: Cell<u64>,
 }
 
-/// What the entry of the server says beside what never changes.
+/// The part of the server's entry in the store that changes while it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Told {
+pub(crate) struct Advertised {
     pub(crate) state: MemberState,
-    /// Times that it turned cold.
-    colds: u32,
+    /// Number of warm-ups started by a fault. A change of it makes the server write its entry again.
+    warmups: u32,
 }
 
-/// An accepted request.
+/// An accepted request that has not ended.
 #[derive(Debug)]
-struct Flight {
+struct InFlight {
     key: Option<u16>,
-    runs: bool,
+    is_running: bool,
 }
 
 impl State {
-    pub(crate) fn new(options: TargetOptions, refused: Rc<Cell<u64>>) -> io::Result<Self> {
+    pub(crate) fn new(
+        options: TargetOptions,
+        refused_connections: Rc<Cell<u64>>,
+    ) -> io::Result<Self> {
         let recorder = Recorder::open(options.ledger.as_deref())?;
         Ok(Self {
             slots: Slots::new(options.slots, options.queue),
             holding: RefCell::default(),
             recorder: RefCell::new(recorder),
             faults: RefCell::new(TargetFaults::new(options.seed)),
-            last_answer: RefCell::default(),
-            refused,
+            last_response: RefCell::default(),
+            refused_connections,
             clock: Clock::start(),
-            born: wall_micros() / 1000,
-            cold: RefCell::new(Cold::new(Millis::ZERO, options.cold_ms)),
-            told: Cell::new(Told {
+            started_unix_ms: wall_micros() / 1000,
+            warmup: RefCell::new(WarmUp::new(Millis::ZERO, options.cold_ms)),
+            advertised: Cell::new(Advertised {
                 state: MemberState::Ready,
-                colds: 0,
+                warmups: 0,
             }),
-            limited: RefCell::default(),
-            flights: RefCell::default(),
-            tickets: Cell::new(0),
+            limit_check: RefCell::default(),
+            in_flight: RefCell::default(),
+            last_id: Cell::new(0),
             options,
         })
     }
 
-    /// Reads the server's own monotonic time.
+    /// Returns the time of the server's own monotonic clock.
     pub(crate) fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Returns the start of the process in Unix milliseconds.
-    pub(crate) const fn born(&self) -> u64 {
-        self.born
+    /// Returns the start of the process in milliseconds since 1970.
+    pub(crate) const fn started_unix_ms(&self) -> u64 {
+        self.started_unix_ms
     }
 
-    /// Returns what the entry is to say.
-    pub(crate) const fn told(&self) -> Told {
-        self.told.get()
+    /// Returns the changing part of the entry in the store.
+    pub(crate) const fn advertised(&self) -> Advertised {
+        self.advertised.get()
     }
 
-    /// Tells whether the server is about to leave.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.told.get().state == MemberState::Draining
+    /// Returns `true` if the server is draining.
+    pub(crate) fn is_draining(&self) -> bool {
+        self.advertised.get().state == MemberState::Draining
     }
 
-    /// Announces that the server leaves.
-    pub(crate) fn leave(&self) {
-        let told = self.told.get();
-        self.told.set(Told {
+    /// Announces in the store and in responses that the server is draining.
+    pub(crate) fn start_draining(&self) {
+        let advertised = self.advertised.get();
+        self.advertised.set(Advertised {
             state: MemberState::Draining,
-            ..told
+            ..advertised
         });
     }
 
-    /// Empties the caches.
-    pub(crate) fn turn_cold(&self, length: Option<Millis>) {
+    /// Starts a warm-up, as after the loss of all caches. Its default length is that of the options.
+    pub(crate) fn start_warmup(&self, length: Option<Millis>) {
         let length = length.unwrap_or(self.options.cold_ms);
-        *self.cold.borrow_mut() = Cold::new(self.now(), length);
-        let told = self.told.get();
-        self.told.set(Told {
-            colds: told.colds + 1,
-            ..told
+        *self.warmup.borrow_mut() = WarmUp::new(self.now(), length);
+        let advertised = self.advertised.get();
+        self.advertised.set(Advertised {
+            warmups: advertised.warmups + 1,
+            ..advertised
         });
     }
 
-    /// Returns how much longer the server stays cold.
-    pub(crate) fn cold_left(&self) -> Millis {
-        self.cold.borrow().left(self.now())
+    /// Returns how much longer the warm-up lasts.
+    pub(crate) fn warmup_left(&self) -> Millis {
+        self.warmup.borrow().remaining(self.now())
     }
 
-    /// Returns the service time in microseconds that a request of `base` takes now.
+    /// Returns the current service time in microseconds of a request that usually takes `base` microseconds.
     pub(crate) fn service_us(&self, base: u64) -> u64 {
         let now = self.now();
-        let factor = self.faults.borrow_mut().factor(now) * self.cold.borrow().factor(now);
+        let factor =
+            self.faults.borrow_mut().service_factor(now) * self.warmup.borrow().service_factor(now);
         (base as f64 * factor) as u64
     }
 
-    /// Accepts a request.
-    pub(crate) fn enter(&self, key: Option<u16>) -> u64 {
-        let ticket = self.tickets.get() + 1;
-        self.tickets.set(ticket);
+    /// Records an accepted request and returns its id in the process.
+    pub(crate) fn accept(&self, key: Option<u16>) -> u64 {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
         let busy = {
-            let mut flights = self.flights.borrow_mut();
-            flights.insert(ticket, Flight { key, runs: false });
-            flights.len() as u32
+            let mut in_flight = self.in_flight.borrow_mut();
+            in_flight.insert(
+                id,
+                InFlight {
+                    key,
+                    is_running: false,
+                },
+            );
+            in_flight.len() as u32
         };
-        self.note_arrival(busy);
-        ticket
+        self.record_arrival(busy);
+        id
     }
 
-    /// Notes that an accepted request has a slot.
-    pub(crate) fn start(&self, ticket: u64) {
-        if let Some(flight) = self.flights.borrow_mut().get_mut(&ticket) {
-            flight.runs = true;
+    /// Records that an accepted request has got a slot and runs.
+    pub(crate) fn mark_running(&self, id: u64) {
+        if let Some(request) = self.in_flight.borrow_mut().get_mut(&id) {
+            request.is_running = true;
         }
     }
 
-    /// Ends an accepted request.
-    pub(crate) fn end(&self, ticket: u64) {
-        self.flights.borrow_mut().remove(&ticket);
+    /// Removes an accepted request that has ended.
+    pub(crate) fn finish(&self, id: u64) {
+        self.in_flight.borrow_mut().remove(&id);
     }
 
-    /// Tells whether a request runs on one of the keys.
-    pub(crate) fn runs_on(&self, first: u16, last: u16) -> bool {
-        let flights = self.flights.borrow();
-        let on = |f: &Flight| f.key.is_some_and(|k| (first..=last).contains(&k));
-        flights.values().any(|f| f.runs && on(f))
+    /// Returns `true` if a request runs on one of the keys from `first` to `last`, included.
+    pub(crate) fn has_running(&self, first: u16, last: u16) -> bool {
+        let in_flight = self.in_flight.borrow();
+        let is_in_range = |r: &InFlight| r.key.is_some_and(|k| (first..=last).contains(&k));
+        in_flight.values().any(|r| r.is_running && is_in_range(r))
     }
 
-    fn note_arrival(&self, busy: u32) {
+    /// Counts an arrival and records an overrun if it exceeds the advertised rate limit or the warm-up limit. `busy`
+    /// is the number of requests in flight.
+    fn record_arrival(&self, busy: u32) {
         let now = self.now();
         let mut recorder = self.recorder.borrow_mut();
-        let rate = self.faults.borrow_mut().limit(now);
-        if let Some(excess) = self.limited.borrow_mut().arrive(now, rate) {
-            recorder.limit_overrun(LimitOverrun {
+        let rate = self.faults.borrow_mut().advertised_limit(now);
+        if let Some(excess) = self.limit_check.borrow_mut().record_arrival(now, rate) {
+            recorder.record_limit_overrun(LimitOverrun {
                 server: self.options.name.to_string(),
                 time: wall_micros(),
                 limited_ms: excess.age.0,
@@ -179,12 +192,12 @@
             });
         }
         recorder.ledger.max_busy = recorder.ledger.max_busy.max(busy);
-        let mut cold = self.cold.borrow_mut();
-        let age = cold.age(now).unwrap_or_default();
-        if let Some(arrived) = cold.arrive(now)
+        let mut warmup = self.warmup.borrow_mut();
+        let age = warmup.age(now).unwrap_or_default();
+        if let Some(arrived) = warmup.record_arrival(now)
             && arrived > self.options.cold_bears
         {
-            recorder.overrun(Overrun {
+            recorder.record_overrun(Overrun {
                 server: self.options.name.to_string(),
                 time: wall_micros(),
                 cold_ms: age.0,
--- a/crates/chicoryrail-testkit/src/target/work.rs
+++ b/crates/chicoryrail-testkit/src/target/work.rs
@@ -1,4 +1,4 @@
-//! Requests of callers.
+//! Runs the requests of callers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,29 +23,29 @@
 use crate::Permit;
 use crate::Run;
 use crate::query;
-use crate::target::answer::AnswerHead;
-use crate::target::answer::Filler;
+use crate::target::response::AnswerHead;
+use crate::target::response::Filler;
 use crate::target::slots::NoSlot;
 use crate::target::state::State;
 use crate::wall_micros;
 
-/// Largest body of a request taken, in bytes.
-const BODY_MOST: usize = 64 << 20;
+/// Largest accepted request body in bytes.
+const BODY_MAX_BYTES: usize = 64 << 20;
 
-/// Time of a request that names none.
-const TIME: Millis = Millis(60_000);
+/// Time left of a request without a deadline header.
+const DEFAULT_TIME_LEFT: Millis = Millis(60_000);
 
-/// A request as the server reads it.
+/// The parameters of a request, parsed from its head.
 #[derive(Clone, Debug)]
 struct Work {
     request: String,
     path: String,
     key: Option<u16>,
-    /// Whether it must run at most once.
+    /// Whether the request is an order, which must run at most once.
     order: bool,
-    /// Organisation that the host named.
+    /// Organisation named by the host, if any.
     organisation: Option<String>,
-    /// Whether the API key came along.
+    /// Whether the request carried the caller's API key, which must not reach a server.
     key_leaked: bool,
     deadline: Millis,
     service_us: u64,
@@ -57,121 +57,123 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     Done,
-    /// It ran, and the deadline passed before its end.
-    TooLong,
-    NotHeld,
-    Full,
-    Late,
+    /// The request ran and took effect, but after its deadline.
+    DoneLate,
+    NotOwner,
+    /// The queue was full, or a fault refuses the request.
+    Refused,
+    /// The deadline passed before the run.
+    Expired,
     Cancelled,
 }
 
-/// Runs a request and answers it.
-pub(crate) async fn answer(
+/// Runs a request and returns its response, with the active faults applied.
+pub(crate) async fn respond(
     state: Rc<State>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Cut> {
     let (head, body) = request.into_parts();
-    let work = Work::read(&state, &head);
-    let Ok(_) = collect(body, BODY_MOST).await else {
+    let work = Work::parse(&state, &head);
+    let Ok(_) = collect(body, BODY_MAX_BYTES).await else {
         return Err(Cut);
     };
-    if state.faults.borrow_mut().refuses(state.now()) {
-        return Ok(refusal(&state, &work.request, End::Full));
+    if state.faults.borrow_mut().sample_refusal(state.now()) {
+        return Ok(refusal(&state, &work.request, End::Refused));
     }
-    // An order goes on when the caller has left, as it may on a real server; a lookup does not.
+    // An order runs on when its caller disconnects, as it may on a real server; a lookup is cancelled.
     let cancel = CancellationToken::new();
-    let left = cancel.clone().drop_guard();
+    let cancel_guard = cancel.clone().drop_guard();
     let end = monoio::spawn(run(Rc::clone(&state), work.clone(), cancel)).await;
-    left.disarm();
+    cancel_guard.disarm();
     match end {
         End::Done => {}
-        End::TooLong => {
-            let mut answer = json_answer(504, &"the deadline passed");
-            mark(&state, answer.headers_mut(), &work.request);
-            return Ok(answer);
+        End::DoneLate => {
+            let mut response = json_answer(504, &"the deadline passed");
+            add_headers(&state, response.headers_mut(), &work.request);
+            return Ok(response);
         }
         end => return Ok(refusal(&state, &work.request, end)),
     }
-    let fate = state.faults.borrow_mut().draw(state.now());
-    if fate.delay > Millis::ZERO {
-        monoio::time::sleep(fate.delay.duration()).await;
+    let faults = state.faults.borrow_mut().sample(state.now());
+    if faults.delay > Millis::ZERO {
+        monoio::time::sleep(faults.delay.duration()).await;
     }
-    if fate.lost {
+    if faults.lost {
         return Err(Cut);
     }
-    let own = AnswerHead {
+    let own_head = AnswerHead {
         request: work.request.clone(),
         path: work.path,
         server: state.options.name.to_string(),
         length: work.length,
     };
-    let last = state.last_answer.replace(Some(own.clone()));
-    let shown = last.filter(|_| fate.crossed).unwrap_or(own);
-    let body = Filler::new(&shown, work.chunked, fate.cut);
-    let mut answer: Response<Body> = Response::new(Box::pin(body));
-    if fate.failed {
-        *answer.status_mut() = http::StatusCode::INTERNAL_SERVER_ERROR;
+    let last = state.last_response.replace(Some(own_head.clone()));
+    let sent_head = last.filter(|_| faults.crossed).unwrap_or(own_head);
+    let body = Filler::new(&sent_head, work.chunked, faults.cut_after);
+    let mut response: Response<Body> = Response::new(Box::pin(body));
+    if faults.failed {
+        *response.status_mut() = http::StatusCode::INTERNAL_SERVER_ERROR;
     }
-    mark(&state, answer.headers_mut(), &shown.request);
-    if !fate.unmarked {
+    add_headers(&state, response.headers_mut(), &sent_head.request);
+    if !faults.unmarked {
         let stamp = HeaderValue::from_static("stamp");
-        answer.headers_mut().insert(call_header::STAMP, stamp);
+        response.headers_mut().insert(call_header::STAMP, stamp);
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Refuses a request that is meant for another server.
-pub(crate) fn misdirected(state: &State, headers: &HeaderMap) -> Response<Body> {
+/// Refuses a request that is addressed to another server.
+pub(crate) fn refuse_misdirected(state: &State, headers: &HeaderMap) -> Response<Body> {
     let request = call_header::text(headers, &call_header::REQUEST_ID);
-    refusal(state, request.unwrap_or_default(), End::NotHeld)
+    refusal(state, request.unwrap_or_default(), End::NotOwner)
 }
 
+/// Runs a request and counts how it ended.
 async fn run(state: Rc<State>, work: Work, cancel: CancellationToken) -> End {
-    let ticket = state.enter(work.key);
-    let end = run_accepted(&state, &work, ticket, &cancel).await;
-    state.end(ticket);
+    let id = state.accept(work.key);
+    let end = run_accepted(&state, &work, id, &cancel).await;
+    state.finish(id);
     let mut recorder = state.recorder.borrow_mut();
     match end {
-        End::NotHeld => recorder.ledger.not_held += 1,
-        End::Full => recorder.ledger.shed += 1,
-        End::Late => recorder.ledger.late += 1,
+        End::NotOwner => recorder.ledger.not_held += 1,
+        End::Refused => recorder.ledger.shed += 1,
+        End::Expired => recorder.ledger.late += 1,
         End::Cancelled => recorder.ledger.cancelled += 1,
-        End::Done | End::TooLong => {}
+        End::Done | End::DoneLate => {}
     }
     end
 }
 
-async fn run_accepted(state: &State, work: &Work, ticket: u64, cancel: &CancellationToken) -> End {
+async fn run_accepted(state: &State, work: &Work, id: u64, cancel: &CancellationToken) -> End {
     if permit(state, work).is_err() {
-        return End::NotHeld;
+        return End::NotOwner;
     }
     let wait = work.deadline.since(state.now());
     if wait == Millis::ZERO {
-        return End::Late;
+        return End::Expired;
     }
-    let taken = std::pin::pin!(state.slots.take(wait));
-    let gone = std::pin::pin!(cancelled(work, cancel));
-    let slot = match select(taken, gone).await {
+    let acquired = std::pin::pin!(state.slots.acquire(wait));
+    let cancelled = std::pin::pin!(lookup_cancelled(work, cancel));
+    let slot = match select(acquired, cancelled).await {
         Either::Left((Ok(slot), _)) => slot,
-        Either::Left((Err(NoSlot::Shed), _)) => return End::Full,
-        Either::Left((Err(NoSlot::Late), _)) => return End::Late,
+        Either::Left((Err(NoSlot::Shed), _)) => return End::Refused,
+        Either::Left((Err(NoSlot::TimedOut), _)) => return End::Expired,
         Either::Right(_) => return End::Cancelled,
     };
-    // The queue may have taken long: the hold is checked again before the run, and once more before it
-    // takes effect.
+    // The key lease may have ended in the queue: it is checked again here and before the run takes effect.
     let Ok(permit) = permit(state, work) else {
-        return End::NotHeld;
+        return End::NotOwner;
     };
     if state.now() >= work.deadline {
-        return End::Late;
+        return End::Expired;
     }
-    state.start(ticket);
+    state.mark_running(id);
     let start = wall_micros();
-    let service = state.service_us(work.service_us);
-    if service > 0 {
-        let worked = std::pin::pin!(monoio::time::sleep(Duration::from_micros(service)));
-        let gone = std::pin::pin!(cancelled(work, cancel));
-        if let Either::Right(_) = select(worked, gone).await {
+    let service_us = state.service_us(work.service_us);
+    if service_us > 0 {
+        let worked = std::pin::pin!(monoio::time::sleep(Duration::from_micros(service_us)));
+        let cancelled = std::pin::pin!(lookup_cancelled(work, cancel));
+        if let Either::Right(_) = select(worked, cancelled).await {
             return End::Cancelled;
         }
     }
@@ -180,32 +182,37 @@
     end
 }
 
-/// Waits until a lookup is cancelled; an order is never given up on half-way.
-async fn cancelled(work: &Work, cancel: &CancellationToken) {
+/// Waits until a lookup is cancelled; never returns for an order, which is not abandoned half-way.
+async fn lookup_cancelled(work: &Work, cancel: &CancellationToken) {
     if work.order {
         std::future::pending::<()>().await;
     }
     cancel.cancelled().await;
 }
 
+/// Checks that the server owns the request's key; a server without keys needs no permit.
 fn permit(state: &State, work: &Work) -> Result<Option<Permit>, ()> {
     if !state.options.keyed {
         return Ok(None);
     }
     let key = work.key.ok_or(())?;
     let holding = state.holding.borrow();
-    holding.may_run(state.now(), key).map(Some).ok_or(())
+    holding.permit_run(state.now(), key).map(Some).ok_or(())
 }
 
+/// Records the run as having taken effect, unless the key's lease has ended since the permit.
 fn take_effect(state: &State, work: &Work, permit: Option<Permit>, start: u64) -> End {
-    // Read before the check: a pause between the two makes the check fail, not the run seem longer.
+    // Read before the check, so that a pause between the two makes the check fail instead of lengthening the run.
     let end = wall_micros();
     if let (Some(key), Some(permit)) = (work.key, permit)
-        && !state.holding.borrow().may_finish(state.now(), key, permit)
+        && !state
+            .holding
+            .borrow()
+            .may_take_effect(state.now(), key, permit)
     {
-        return End::NotHeld;
+        return End::NotOwner;
     }
-    state.recorder.borrow_mut().run(Run {
+    state.recorder.borrow_mut().record_run(Run {
         server: state.options.name.to_string(),
         service: state.options.service.to_string(),
         key: work.key.filter(|_| state.options.keyed),
@@ -218,26 +225,28 @@
         end,
     });
     if state.now() > work.deadline {
-        return End::TooLong;
+        return End::DoneLate;
     }
     End::Done
 }
 
+/// Builds the response to a request that had no effect.
 fn refusal(state: &State, request: &str, end: End) -> Response<Body> {
     let (status, text) = match end {
-        End::NotHeld => (421, "the server does not hold the key"),
-        End::Late => (503, "the deadline passed in the queue"),
+        End::NotOwner => (421, "the server does not hold the key"),
+        End::Expired => (503, "the deadline passed in the queue"),
         End::Cancelled => (499, "cancelled"),
-        End::Full | End::Done | End::TooLong => (503, "the queue is full"),
+        End::Refused | End::Done | End::DoneLate => (503, "the queue is full"),
     };
-    let mut answer = json_answer(status, &text);
-    mark(state, answer.headers_mut(), request);
+    let mut response = json_answer(status, &text);
+    add_headers(state, response.headers_mut(), request);
     let not_run = HeaderValue::from_static("1");
-    answer.headers_mut().insert(call_header::NOT_RUN, not_run);
-    answer
+    response.headers_mut().insert(call_header::NOT_RUN, not_run);
+    response
 }
 
-fn mark(state: &State, headers: &mut HeaderMap, request: &str) {
+/// Adds the headers that every response has: request id, server, load, advertised limit, warm-up left, draining.
+fn add_headers(state: &State, headers: &mut HeaderMap, request: &str) {
     let slots = &state.slots;
     let load = format!(
         "{},{},{}",
@@ -255,24 +264,24 @@
             headers.insert(name, value);
         }
     }
-    let limit = state.faults.borrow_mut().limit(state.now());
+    let limit = state.faults.borrow_mut().advertised_limit(state.now());
     if let Some(value) = limit.and_then(|l| HeaderValue::from_str(&l.to_string()).ok()) {
         headers.insert(call_header::RATE_LIMIT, value);
     }
-    let cold = state.cold_left();
-    if cold > Millis::ZERO {
-        headers.insert(call_header::COLD_LEFT, HeaderValue::from(cold.0));
+    let warmup_left = state.warmup_left();
+    if warmup_left > Millis::ZERO {
+        headers.insert(call_header::COLD_LEFT, HeaderValue::from(warmup_left.0));
     }
-    if state.is_leaving() {
+    if state.is_draining() {
         let close = HeaderValue::from_static("close");
         headers.insert(http::header::CONNECTION, close);
     }
 }
 
 impl Work {
-    fn read(state: &State, head: &Parts) -> Self {
+    fn parse(state: &State, head: &Parts) -> Self {
         let text = |name: &http::HeaderName| call_header::text(&head.headers, name);
-        let left = text(&call_header::TIME_LEFT).and_then(|v| v.parse().ok());
+        let time_left = text(&call_header::TIME_LEFT).and_then(|v| v.parse().ok());
         let request = text(&call_header::REQUEST_ID).unwrap_or_default();
         Self {
             request: request.to_owned(),
@@ -281,7 +290,7 @@
             key_leaked: head.headers.contains_key(call_header::API_KEY),
             key: text(&call_header::KEY).and_then(|v| v.parse().ok()),
             order: head.method == Method::POST,
-            deadline: state.now() + left.map_or(TIME, Millis),
+            deadline: state.now() + time_left.map_or(DEFAULT_TIME_LEFT, Millis),
             service_us: query(&head.uri, "work_us").unwrap_or(state.options.service_us),
             length: query(&head.uri, "body").unwrap_or(0),
             chunked: query::<u8>(&head.uri, "chunked") == Some(1),
--- a/crates/chicoryrail-testkit/src/timed.rs
+++ b/crates/chicoryrail-testkit/src/timed.rs
@@ -1,33 +1,33 @@
-//! Faults that end by themselves.
+//! Faults that end after a set time.
 
 use chicoryrail_core::Millis;
 
-/// Faults that are on, each until its end.
+/// Active faults with the time at which each ends.
 #[derive(Debug)]
-pub(crate) struct Timed<F> {
-    on: Vec<(Millis, F)>,
+pub(crate) struct TimedFaults<F> {
+    faults: Vec<(Millis, F)>,
 }
 
-impl<F> Default for Timed<F> {
+impl<F> Default for TimedFaults<F> {
     fn default() -> Self {
-        Self { on: Vec::new() }
+        Self { faults: Vec::new() }
     }
 }
 
-impl<F> Timed<F> {
-    /// Switches a fault on until `ends`, beside those that are on.
-    pub(crate) fn add(&mut self, ends: Millis, fault: F) {
-        self.on.push((ends, fault));
+impl<F> TimedFaults<F> {
+    /// Switches a fault on until `ends_at`; active faults stay on.
+    pub(crate) fn add(&mut self, ends_at: Millis, fault: F) {
+        self.faults.push((ends_at, fault));
     }
 
     /// Switches all faults off.
     pub(crate) fn clear(&mut self) {
-        self.on.clear();
+        self.faults.clear();
     }
 
-    /// Iterates over the faults that are on at `now`, with their ends.
-    pub(crate) fn at(&mut self, now: Millis) -> impl Iterator<Item = &(Millis, F)> {
-        self.on.retain(|(ends, _)| *ends > now);
-        self.on.iter()
+    /// Iterates over the faults that are active at `now` and the times at which they end; drops those that have ended.
+    pub(crate) fn active(&mut self, now: Millis) -> impl Iterator<Item = &(Millis, F)> {
+        self.faults.retain(|(ends_at, _)| *ends_at > now);
+        self.faults.iter()
     }
 }
--- a/crates/chicoryrail-testkit/src/wall.rs
+++ b/crates/chicoryrail-testkit/src/wall.rs
@@ -1,9 +1,9 @@
-//! The wall clock, for records that a checker compares between processes of one machine.
+//! The wall clock. Records carry its time so that the checker can compare those of several processes of one machine.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Returns the microseconds since 1970.
+/// Returns the wall-clock time in microseconds since 1970.
 #[must_use]
 pub fn wall_micros() -> u64 {
     SystemTime::now()
--- a/crates/chicoryrail-testkit/tests/proxy.rs
+++ b/crates/chicoryrail-testkit/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy's faults as a caller meets them.
+//! The faults of the proxy, as its callers see them.
 
 use std::io;
 use std::io::Read;
@@ -14,7 +14,7 @@
 use chicoryrail_testkit::LinkStats;
 use chicoryrail_testkit::Net;
 
-/// Answers each connection's bytes with the same bytes.
+/// Starts a server that echoes the bytes of each connection, and returns its address.
 fn echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -46,12 +46,12 @@
 
 fn exchange(stream: &mut TcpStream, text: &[u8]) -> Vec<u8> {
     stream.write_all(text).unwrap();
-    let mut answer = vec![0; text.len()];
-    stream.read_exact(&mut answer).unwrap();
-    answer
+    let mut response = vec![0; text.len()];
+    stream.read_exact(&mut response).unwrap();
+    response
 }
 
-/// Waits until the link has passed `up` bytes up.
+/// Waits until the link has forwarded `up` bytes up.
 fn wait_up(link: &Link, up: u64) {
     wait_for(link, |s| s.up >= up);
 }
@@ -65,23 +65,23 @@
 }
 
 #[test]
-fn a_whole_link_passes_everything_both_ways() {
+fn a_link_without_faults_forwards_everything_in_both_directions() {
     let (_net, link) = link();
     let text = vec![b'x'; 100_000];
     let mut stream = connect(&link);
     let mut writer = stream.try_clone().unwrap();
     let sent = text.clone();
     let write = std::thread::spawn(move || writer.write_all(&sent));
-    let mut answer = vec![0; text.len()];
-    stream.read_exact(&mut answer).unwrap();
+    let mut response = vec![0; text.len()];
+    stream.read_exact(&mut response).unwrap();
     write.join().unwrap().unwrap();
-    assert_eq!(answer, text);
+    assert_eq!(response, text);
 }
 
-/// The caller waits and gets its answer when the way is healed: the bytes of a cut way are kept, as
-/// TCP sends lost packets again.
+/// The bytes of a cut direction are kept, as TCP retransmits lost packets: the caller waits and gets its response when
+/// the cut ends.
 #[test]
-fn a_one_way_cut_keeps_the_answer_until_it_heals() {
+fn a_one_way_cut_keeps_the_response_until_it_ends() {
     let (_net, link) = link();
     let mut stream = connect(&link);
     assert_eq!(exchange(&mut stream, b"one"), b"one");
@@ -93,15 +93,14 @@
     wait_up(&link, 6);
     assert_eq!(link.stats().down, 3);
     link.heal();
-    let mut answer = [0; 3];
-    stream.read_exact(&mut answer).unwrap();
-    assert_eq!(&answer, b"two");
+    let mut response = [0; 3];
+    stream.read_exact(&mut response).unwrap();
+    assert_eq!(&response, b"two");
 }
 
-/// The caller sees its connection end without a byte of answer, although the request reached the
-/// process behind the link.
+/// The caller's connection ends without a byte of the response, although the request reached the upstream process.
 #[test]
-fn a_lost_answer_has_reached_the_upstream_process() {
+fn a_request_with_a_lost_response_has_reached_the_upstream_process() {
     let (_net, link) = link();
     link.set(LinkFault {
         lose_answers: true,
@@ -109,10 +108,10 @@
     });
     let mut stream = connect(&link);
     stream.write_all(b"order").unwrap();
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    assert_eq!(answer, b"");
-    // The link counts the break after it has closed the connection.
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    assert_eq!(response, b"");
+    // The link counts the break before it closes the connection.
     wait_for(&link, |s| s.broken > 0);
     let stats = link.stats();
     assert_eq!((stats.up, stats.down, stats.broken), (5, 0, 1));
@@ -127,13 +126,13 @@
     });
     let mut stream = connect(&link);
     stream.write_all(b"ten bytes.").unwrap();
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    assert_eq!(answer, b"ten ");
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    assert_eq!(response, b"ten ");
 }
 
 #[test]
-fn a_closed_port_refuses_and_opens_again() {
+fn a_closed_port_refuses_connections_until_the_fault_ends() {
     let (_net, link) = link();
     link.set(LinkFault::closed());
     let until = Instant::now() + Duration::from_secs(20);
@@ -151,7 +150,7 @@
 }
 
 #[test]
-fn delay_and_drip_hold_the_bytes_up() {
+fn delay_and_rate_limit_slow_the_bytes() {
     let (_net, link) = link();
     link.set(LinkFault {
         delay_ms: 50,
@@ -161,7 +160,7 @@
     let mut stream = connect(&link);
     let start = Instant::now();
     assert_eq!(exchange(&mut stream, &[b'y'; 50]), [b'y'; 50]);
-    // Delayed each way by 50 ms, and 50 bytes at 500 a second take 100 ms up alone.
+    // 50 ms of delay in each direction, and 100 ms for 50 bytes up at 500 bytes a second.
     assert!(start.elapsed() >= Duration::from_millis(200));
 }
 
@@ -171,8 +170,8 @@
     let mut stream = connect(&link);
     assert_eq!(exchange(&mut stream, b"one"), b"one");
     link.reset();
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    assert_eq!(answer, b"");
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    assert_eq!(response, b"");
     assert_eq!(exchange(&mut connect(&link), b"two"), b"two");
 }
--- a/crates/chicoryrail-testkit/tests/store.rs
+++ b/crates/chicoryrail-testkit/tests/store.rs
@@ -1,10 +1,10 @@
-//! The store's stand-in over its HTTP interface.
+//! The stand-in of the store, through its HTTP interface.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use chicoryrail_core::Millis;
-use chicoryrail_platform::Change as Told;
+use chicoryrail_platform::Change as StoreChange;
 use chicoryrail_platform::KvStore;
 use chicoryrail_platform::StoreError;
 use chicoryrail_platform::Txn;
@@ -35,8 +35,8 @@
         .body(Bytes::from(body.to_owned()))
         .unwrap();
     let client = HttpClient::default();
-    let answer = client.call(addr, request, Millis(5_000)).await.unwrap();
-    serde_json::from_slice(answer.body()).unwrap()
+    let response = client.call(addr, request, Millis(5_000)).await.unwrap();
+    serde_json::from_slice(response.body()).unwrap()
 }
 
 async fn fault(addr: SocketAddr, fault: &StoreFault) {
@@ -44,7 +44,7 @@
     call::<()>(Method::PUT, addr, "/testkit/fault", &body).await;
 }
 
-/// Writes a key that has the revision; 0: that is absent.
+/// Writes a key if its current revision is `revision`; 0 means that the key is absent.
 async fn swap(store: &KvStore, key: &str, revision: u64, value: &str) -> Result<u64, StoreError> {
     let txn = Txn::default()
         .expect(key, revision)
@@ -52,25 +52,25 @@
     store.commit(&txn).await
 }
 
-/// Reads a key's value and revision.
+/// Reads the value and revision of a key.
 async fn read(store: &KvStore, key: &str) -> Option<(String, u64)> {
     let item = store.item(key).await.unwrap()?;
     Some((String::from_utf8(item.value).unwrap(), item.revision))
 }
 
 #[test]
-fn a_swap_with_an_old_version_writes_nothing() {
+fn a_swap_with_an_old_revision_writes_nothing() {
     block_on(async {
         let addr = start(StoreOptions::default()).await;
         let store = KvStore::new(addr);
         assert_eq!(swap(&store, "config/head", 0, "a").await, Ok(1));
         assert_eq!(swap(&store, "config/head", 1, "b").await, Ok(2));
-        let lost = swap(&store, "config/head", 1, "c").await;
+        let failed = swap(&store, "config/head", 1, "c").await;
         let conflict = StoreError::Conflict {
             key: "config/head".to_owned(),
             found: 2,
         };
-        assert_eq!(lost, Err(conflict));
+        assert_eq!(failed, Err(conflict));
         let found = read(&store, "config/head").await;
         assert_eq!(found, Some(("b".to_owned(), 2)));
     });
@@ -93,7 +93,7 @@
         swap(&store, "other", 0, "x").await.unwrap();
         swap(&store, "config/head", 1, "b").await.unwrap();
         let seen = watch.await.unwrap();
-        let [Told::Put(item)] = &seen.changes[..] else {
+        let [StoreChange::Put(item)] = &seen.changes[..] else {
             panic!("{seen:?}");
         };
         assert_eq!((&*item.key, item.revision), ("config/head", 3));
@@ -103,11 +103,10 @@
     });
 }
 
-/// The caller sees an error of a swap and can't tell whether it was written. The store does the
-/// write first and then closes the connection; the history shows the write, and a read-back finds
-/// it.
+/// The store executes the write and then closes the connection without a response. The caller's swap fails with an
+/// indeterminate outcome; the history and a later read show the write.
 #[test]
-fn a_lost_answer_leaves_the_write_in_effect() {
+fn a_lost_response_leaves_the_write_in_effect() {
     block_on(async {
         let addr = start(StoreOptions::default()).await;
         let store = KvStore::new(addr);
@@ -145,10 +144,9 @@
     });
 }
 
-/// A holder that stops renewing its lease loses its keys, and a watch tells of it: the store
-/// deletes them under a new version.
+/// When a lease is not renewed, the store deletes its keys under a new revision, and a watch reports the deletion.
 #[test]
-fn a_lease_that_runs_out_deletes_its_keys() {
+fn an_expired_lease_deletes_its_keys() {
     block_on(async {
         let addr = start(StoreOptions::default()).await;
         let store = KvStore::new(addr);
@@ -156,7 +154,7 @@
         let txn = Txn::default().put_leased("l/x", b"v", lease.id);
         assert_eq!(store.commit(&txn).await, Ok(1));
         let seen = store.changes("l/", 1, Millis(10_000)).await.unwrap();
-        let gone = Told::Gone {
+        let gone = StoreChange::Gone {
             key: "l/x".to_owned(),
             revision: 2,
         };
@@ -182,18 +180,18 @@
     });
 }
 
-/// A host that watches falls behind: the store forgets its history. The watch says so in place of
-/// leaving changes out, and a snapshot shows what stands.
+/// Guards against a watch that silently skips changes: the store compacts the history that a slow watcher still needs.
+/// The watch fails, and a snapshot returns the current items.
 #[test]
-fn a_watch_of_forgotten_history_is_told_so() {
+fn a_watch_of_compacted_history_fails() {
     block_on(async {
         let addr = start(StoreOptions::default()).await;
         let store = KvStore::new(addr);
         swap(&store, "servers/a", 0, "1").await.unwrap();
         swap(&store, "servers/a", 1, "2").await.unwrap();
         call::<()>(Method::PUT, addr, "/testkit/compact", "").await;
-        let lost = store.changes("servers/", 1, Millis(100)).await;
-        assert_eq!(lost, Err(StoreError::HistoryGone { after: 1 }));
+        let watch = store.changes("servers/", 1, Millis(100)).await;
+        assert_eq!(watch, Err(StoreError::HistoryGone { after: 1 }));
         let all = store.snapshot("servers/").await.unwrap();
         assert_eq!((all.revision, all.items[0].revision), (2, 2));
         let next = store.changes("servers/", 2, Millis(10)).await.unwrap();
@@ -202,7 +200,7 @@
 }
 
 #[test]
-fn a_snapshot_goes_over_pages() {
+fn a_snapshot_reads_all_pages() {
     block_on(async {
         let addr = start(StoreOptions::default()).await;
         let store = KvStore::new(addr);
@@ -218,27 +216,28 @@
     });
 }
 
-/// The store serves others and turns this host away: it says that nothing was done, and nothing was.
+/// The store refuses the calls of one host with status 503 and serves the others. The refused host learns that its
+/// write was not done.
 #[test]
-fn a_host_that_is_turned_away_is_told_that_nothing_was_done() {
+fn a_refused_host_learns_that_nothing_was_done() {
     block_on(async {
         let addr = start(StoreOptions::default()).await;
         let store = KvStore::new(addr);
-        let away = |host: &str| StoreFault::Down {
+        let down_for = |host: &str| StoreFault::Down {
             for_ms: 60_000,
             share: 1.0,
             polite: true,
             hosts: vec![host.parse().unwrap()],
         };
-        fault(addr, &away("127.0.0.9")).await;
+        fault(addr, &down_for("127.0.0.9")).await;
         assert_eq!(swap(&store, "k", 0, "v").await, Ok(1));
-        fault(addr, &away("127.0.0.1")).await;
+        fault(addr, &down_for("127.0.0.1")).await;
         assert_eq!(swap(&store, "k", 1, "w").await, Err(StoreError::NotDone));
     });
 }
 
 #[test]
-fn a_refused_condition_names_its_key() {
+fn a_failed_precondition_names_its_key() {
     block_on(async {
         let addr = start(StoreOptions::default()).await;
         let store = KvStore::new(addr);
@@ -259,7 +258,7 @@
 }
 
 #[test]
-fn a_value_over_the_limit_is_told_by_key_and_not_sent() {
+fn a_value_over_the_limit_fails_with_its_key_and_is_not_sent() {
     block_on(async {
         let addr = start(StoreOptions::default()).await;
         let store = KvStore::new(addr).with_largest(10);
--- a/crates/chicoryrail-testkit/tests/target.rs
+++ b/crates/chicoryrail-testkit/tests/target.rs
@@ -1,4 +1,4 @@
-//! The target's stand-in over its HTTP interface.
+//! The stand-in of a target, through its HTTP interface.
 
 use std::net::SocketAddr;
 
@@ -72,23 +72,23 @@
 #[case::fixed_length("body=100000")]
 #[case::chunked("body=100000&chunked=1")]
 #[case::empty("body=0")]
-fn an_answer_names_its_request_and_is_whole(#[case] query: &'static str) {
+fn a_response_names_its_request_and_is_complete(#[case] query: &'static str) {
     block_on(async move {
         let addr = start(options()).await;
-        let answer = send(addr, lookup("r1", query)).await;
-        assert_eq!(answer.headers()[call_header::REQUEST_ID], "r1");
-        let head = AnswerHead::check(answer.body()).unwrap();
+        let response = send(addr, lookup("r1", query)).await;
+        assert_eq!(response.headers()[call_header::REQUEST_ID], "r1");
+        let head = AnswerHead::check(response.body()).unwrap();
         assert_eq!((&*head.path, &*head.request), ("/v1/kits/key-1", "r1"));
-        assert_eq!(answer.headers()[call_header::LOAD], "0,0,2");
-        let short = &answer.body()[..answer.body().len() - 1];
+        assert_eq!(response.headers()[call_header::LOAD], "0,0,2");
+        let short = &response.body()[..response.body().len() - 1];
         assert_eq!(AnswerHead::check(short), None);
     });
 }
 
-/// One slot and a queue of one: of three requests at once one runs, one waits, and one is shed with
-/// a true "not run".
+/// With one slot and a queue of one, of three concurrent requests one runs, one waits, and one is shed and marked as
+/// not run.
 #[test]
-fn a_full_queue_sheds_and_says_not_run() {
+fn a_request_shed_by_a_full_queue_is_marked_as_not_run() {
     block_on(async {
         let addr = start(TargetOptions {
             slots: 1,
@@ -98,8 +98,8 @@
         .await;
         let ids = ["r1", "r2", "r3"];
         let calls = ids.map(|id| send(addr, lookup(id, "work_us=1500000")));
-        let answers = join_all(calls).await;
-        let shed: Vec<_> = answers.iter().filter(|a| a.status() == 503).collect();
+        let responses = join_all(calls).await;
+        let shed: Vec<_> = responses.iter().filter(|a| a.status() == 503).collect();
         assert_eq!(shed.len(), 1);
         assert_eq!(shed[0].headers()[call_header::NOT_RUN], "1");
         let seen = ledger(addr).await;
@@ -123,18 +123,18 @@
             monoio::time::sleep(Millis(100).duration()).await;
             send(addr, late).await
         };
-        let (_, answer) = futures_util::future::join(first, second).await;
-        assert_eq!(answer.status(), 503);
-        assert_eq!(answer.headers()[call_header::NOT_RUN], "1");
+        let (_, response) = futures_util::future::join(first, second).await;
+        assert_eq!(response.status(), 503);
+        assert_eq!(response.headers()[call_header::NOT_RUN], "1");
         let seen = ledger(addr).await;
         assert_eq!((seen.done, seen.late), (1, 1));
     });
 }
 
-/// A keyed server that was granted nothing refuses before the run; after a grant it runs, and a call with
-/// an older fence is refused.
+/// A keyed server refuses a request before the run while it has no grant, and runs it after a grant. It refuses a
+/// grant with an older fence and a grant addressed to another server.
 #[test]
-fn a_key_that_is_not_held_is_refused_before_the_run() {
+fn a_request_for_a_key_that_is_not_owned_is_refused_before_the_run() {
     block_on(async {
         let addr = start(TargetOptions {
             keyed: true,
@@ -147,9 +147,9 @@
             request.headers_mut().insert(call_header::KEY, key);
             request
         };
-        let answer = send(addr, keyed("r1")).await;
-        assert_eq!(answer.status(), 421);
-        assert_eq!(answer.headers()[call_header::NOT_RUN], "1");
+        let response = send(addr, keyed("r1")).await;
+        assert_eq!(response.status(), 421);
+        assert_eq!(response.headers()[call_header::NOT_RUN], "1");
         let name = ServerName::new("kits-01");
         let grant = |fence| KeyGrant {
             first: 100,
@@ -160,8 +160,8 @@
         };
         let control = KeyControl::default();
         let limit = Millis(20_000);
-        let given = control.grant(addr, &name, &grant(5), limit).await;
-        assert_eq!(given, Ok(()));
+        let granted = control.grant(addr, &name, &grant(5), limit).await;
+        assert_eq!(granted, Ok(()));
         assert_eq!(send(addr, keyed("r2")).await.status(), 200);
         let old = control.grant(addr, &name, &grant(4), limit).await;
         assert_eq!(old, Err(KeyError::FenceOld));
@@ -174,10 +174,9 @@
     });
 }
 
-/// The caller's connection ends without an answer; the order ran all the same and stands in the
-/// ledger.
+/// The caller's connection ends without a response although the order ran and is in the ledger.
 #[test]
-fn a_lost_answer_leaves_the_order_run() {
+fn an_order_whose_response_is_lost_has_run() {
     block_on(async {
         let addr = start(options()).await;
         let lose = TargetFault::LoseAnswers {
@@ -189,18 +188,18 @@
             .header(call_header::REQUEST_ID, "o1")
             .body(Bytes::from_static(b"{}"))
             .unwrap();
-        let answer = HttpClient::default()
+        let response = HttpClient::default()
             .call(addr, order, Millis(20_000))
             .await;
-        assert!(answer.is_err(), "{answer:?}");
+        assert!(response.is_err(), "{response:?}");
         let runs = ledger(addr).await.runs;
         assert!(runs[0].order && runs[0].request == "o1", "{runs:?}");
     });
 }
 
-/// A cold server bears so many requests in a second; one more is recorded.
+/// A server that is warming up records an overrun when more requests arrive in a second than its limit.
 #[test]
-fn a_cold_server_records_what_is_more_than_it_bears() {
+fn a_server_that_is_warming_up_records_an_overrun() {
     block_on(async {
         let addr = start(TargetOptions {
             cold_bears: 2,
@@ -212,8 +211,8 @@
         };
         fault(addr, &cold).await;
         for id in ["r1", "r2", "r3"] {
-            let answer = send(addr, lookup(id, "")).await;
-            assert!(answer.headers().contains_key(call_header::COLD_LEFT));
+            let response = send(addr, lookup(id, "")).await;
+            assert!(response.headers().contains_key(call_header::COLD_LEFT));
         }
         let seen = ledger(addr).await.overruns;
         let found: Vec<_> = seen.iter().map(|o| (o.arrived, o.bears)).collect();
@@ -221,9 +220,9 @@
     });
 }
 
-/// A server registers with a lease, and tells in its entry when it turns cold and when it leaves.
+/// A server registers in the store and updates its entry when it starts a warm-up and when it starts to drain.
 #[test]
-fn a_server_registers_and_tells_what_changes() {
+fn a_server_registers_and_updates_its_entry() {
     block_on(async {
         let listener = Listener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let store = KvStore::new(listener.addr().unwrap());
@@ -236,17 +235,17 @@
         .await;
         let name = ServerName::new("kits-01");
         let key = Subject::Server(name.clone()).key().unwrap();
-        let entry = async |cold: bool, state: MemberState| {
+        let entry = async |is_warming_up: bool, state: MemberState| {
             for _ in 0..1_000 {
                 if let Some(item) = store.item(&key).await.unwrap() {
                     let member = read_member(&name, &item.value).unwrap();
-                    if (member.cold > Millis::ZERO) == cold && member.state == state {
+                    if (member.cold > Millis::ZERO) == is_warming_up && member.state == state {
                         return member;
                     }
                 }
                 monoio::time::sleep(Millis(10).duration()).await;
             }
-            panic!("the entry never says cold: {cold}, {state:?}");
+            panic!("the entry never has warming up: {is_warming_up}, {state:?}");
         };
         let first = entry(false, MemberState::Ready).await;
         assert_eq!((first.addr, first.slots), (addr, 2));
@@ -261,9 +260,9 @@
     });
 }
 
-/// Callers that leave give the slot of a lookup back.
+/// Guards against a slot that stays taken: a lookup is cancelled and its slot released when its caller disconnects.
 #[test]
-fn a_lookup_whose_caller_left_gives_its_slot_back() {
+fn a_lookup_whose_caller_disconnects_releases_its_slot() {
     block_on(async {
         let addr = start(TargetOptions {
             slots: 1,
@@ -271,8 +270,8 @@
         })
         .await;
         let client = HttpClient::default();
-        let left = client.call(addr, lookup("r1", "work_us=15000000"), Millis(100));
-        assert!(left.await.is_err());
+        let abandoned = client.call(addr, lookup("r1", "work_us=15000000"), Millis(100));
+        assert!(abandoned.await.is_err());
         assert_eq!(send(addr, lookup("r2", "")).await.status(), 200);
         let seen = ledger(addr).await;
         assert_eq!((seen.done, seen.cancelled), (1, 1));
