--- a/crates/chicoryrail-testkit/src/store/fault.rs
+++ b/crates/chicoryrail-testkit/src/store/fault.rs
@@ -67,7 +67,7 @@
     /// If set, the call is not executed; `true` returns status 503, `false` closes the connection.
     pub(crate) down: Option<bool>,
     /// The call is executed and its response is lost.
-    pub(crate) response_lost: bool,
+    pub(crate) lost: bool,
     /// The call never gets a response.
     pub(crate) silent: bool,
 }
@@ -124,9 +124,7 @@
                 StoreFault::Slow {
                     share, delay_ms, ..
                 } if is_affected(share) => faults.delay = faults.delay + Millis(*delay_ms),
-                StoreFault::LoseAnswers { share, .. } if is_affected(share) => {
-                    faults.response_lost = true
-                }
+                StoreFault::LoseAnswers { share, .. } if is_affected(share) => faults.lost = true,
                 _ => {}
             }
         }
--- a/crates/chicoryrail-testkit/src/store/server.rs
+++ b/crates/chicoryrail-testkit/src/store/server.rs
@@ -120,7 +120,7 @@
         if self.state.borrow().faults.silence_count != silence_count {
             std::future::pending::<()>().await;
         }
-        if call_faults.response_lost {
+        if call_faults.lost {
             Err(Cut)
         } else {
             Ok(response)
--- a/crates/chicoryrail-testkit/src/target/fault.rs
+++ b/crates/chicoryrail-testkit/src/target/fault.rs
@@ -205,7 +205,7 @@
                     share, delay_ms, ..
                 } if is_affected(share) => faults.delay = faults.delay.max(Millis(*delay_ms)),
                 TargetFault::Cut { share, after, .. } if is_affected(share) => {
-                    faults.cut_after = Some(*after)
+                    faults.cut_after = Some(*after);
                 }
                 TargetFault::LoseAnswers { share, .. } if is_affected(share) => faults.lost = true,
                 TargetFault::Crossed { share, .. } if is_affected(share) => faults.crossed = true,
--- a/crates/chicoryrail-testkit/tests/holding.rs
+++ b/crates/chicoryrail-testkit/tests/holding.rs
@@ -46,7 +46,7 @@
     assert!(holding.permit_run(Millis(1_110), 150).is_some());
 }
 
-/// A release takes effect whatever its fence, and leaves the highest fence seen as it is.
+/// A release takes effect whatever its fence, and does not lower the highest fence seen.
 #[test]
 fn a_release_with_an_older_fence_frees_the_keys() {
     let mut holding = leased();
--- a/crates/chicoryrail-testkit/tests/target.rs
+++ b/crates/chicoryrail-testkit/tests/target.rs
@@ -99,7 +99,7 @@
         let ids = ["r1", "r2", "r3"];
         let calls = ids.map(|id| send(addr, lookup(id, "work_us=1500000")));
         let responses = join_all(calls).await;
-        let shed: Vec<_> = responses.iter().filter(|a| a.status() == 503).collect();
+        let shed: Vec<_> = responses.iter().filter(|r| r.status() == 503).collect();
         assert_eq!(shed.len(), 1);
         assert_eq!(shed[0].headers()[call_header::NOT_RUN], "1");
         let seen = ledger(addr).await;
