--- a/crates/chicoryrail-testkit/src/chaos.rs
+++ b/crates/chicoryrail-testkit/src/chaos.rs
@@ -1,12 +1,12 @@
-//! Long randomised runs of real processes under faults.
+//! Chaos runs: real processes under random load and injected faults.
 
 mod act;
+mod context;
 mod fault;
-mod lane;
 mod options;
 mod run;
-mod scene;
 mod summary;
+mod worker;
 
 pub(crate) use fault::Fault;
 pub(crate) use fault::FaultRecord;
--- a/crates/chicoryrail-testkit/src/chaos/act.rs
+++ b/crates/chicoryrail-testkit/src/chaos/act.rs
@@ -1,4 +1,4 @@
-//! How each fault is made and undone.
+//! Injection and removal of each kind of fault.
 
 use chicoryrail_core::DcName;
 use chicoryrail_core::Millis;
@@ -12,109 +12,127 @@
 use crate::StoreFault;
 use crate::TargetFault;
 use crate::chaos::Fault;
-use crate::chaos::scene::Scene;
+use crate::chaos::context::RunContext;
 use crate::wall_micros;
 
-/// Longest time that a process may take for a planned stop, in milliseconds.
-const STOP_MS: u64 = 15_000;
+/// Longest time for a planned stop of a process, in milliseconds; a slower process is killed.
+const STOP_TIMEOUT_MS: u64 = 15_000;
 
-/// Longest wait for a restarted router to be ready, in milliseconds.
-const READY_MS: u64 = 15_000;
+/// Longest wait until a restarted router passes its readiness check, in milliseconds.
+const READY_TIMEOUT_MS: u64 = 15_000;
 
-/// Tries to bring a data centre back before the run gives up on it.
-const TRIES: usize = 20;
+/// Attempts to return a data centre to service before the fault is recorded as failed.
+const RESTORE_ATTEMPTS: usize = 20;
 
-/// Bytes of an answer that pass before it is cut.
-const CUT_AFTER: u64 = 40;
+/// Bytes of a response body that a target sends before it cuts the response.
+const CUT_AFTER_BYTES: u64 = 40;
 
-/// Time after which a server in a data centre that was taken out gets no new work, in microseconds: the
-/// bound of the boot file, and half a second for the operator's program and for what was on its way.
-const OUT_AFTER: u64 = 3_500_000;
+/// Time after which a server gets no new requests once its data centre is taken out of service, in
+/// microseconds: `evacuate_ms` of the boot file (3 s), and half a second for the operator's program and
+/// for requests in flight.
+const DRAIN_BOUND_US: u64 = 3_500_000;
 
-/// The same for a server that announced its leave.
-const LEAVE_AFTER: u64 = 2_500_000;
+/// Time after which a server gets no new requests once it announces that it leaves, in microseconds:
+/// `drain_timeout_ms` of the boot file (2 s), and half a second for the announcement and for requests in flight.
+const LEAVE_BOUND_US: u64 = 2_500_000;
 
-/// Time for which a leaving server goes on, in milliseconds.
-const LEAVE_MS: u64 = 4_000;
+/// Time for which a leaving server keeps serving before it is killed, in milliseconds.
+const LEAVE_DURATION_MS: u64 = 4_000;
 
-/// Makes a fault, waits, and undoes it; returns what did not go as planned.
-pub(crate) fn make(scene: &Scene, fault: &Fault) -> Result<(), String> {
+/// Injects a fault, waits for its duration and removes it.
+///
+/// # Errors
+///
+/// Returns what failed while the fault was injected or removed.
+pub(crate) fn inject(context: &RunContext, fault: &Fault) -> Result<(), String> {
     match *fault {
-        Fault::KillRouter { host, for_ms } => kill(scene, Member::Router(host), for_ms),
-        Fault::KillTarget { target, for_ms } => kill(scene, Member::Target(target), for_ms),
-        Fault::PauseRouter { host, for_ms } => pause_router(scene, host, for_ms),
-        Fault::PauseTarget { target, for_ms } => pause(scene, Member::Target(target), for_ms),
+        Fault::KillRouter { host, for_ms } => kill(context, Member::Router(host), for_ms),
+        Fault::KillTarget { target, for_ms } => kill(context, Member::Target(target), for_ms),
+        Fault::PauseRouter { host, for_ms } => pause_router(context, host, for_ms),
+        Fault::PauseTarget { target, for_ms } => pause(context, Member::Target(target), for_ms),
         Fault::StoreAway { host, for_ms } => {
-            let link = link(scene, |l| l.store(host).clone());
-            script(scene, link, &LinkFault::cut(), for_ms)
+            let link = find_link(context, |l| l.store(host).clone());
+            disturb_link(context, link, &LinkFault::cut(), for_ms)
         }
         Fault::StoreFar {
             host,
             delay_ms,
             for_ms,
         } => {
-            let link = link(scene, |l| l.store(host).clone());
-            script(scene, link, &LinkFault::delay(delay_ms, delay_ms), for_ms)
+            let link = find_link(context, |l| l.store(host).clone());
+            disturb_link(context, link, &LinkFault::delay(delay_ms, delay_ms), for_ms)
+        }
+        Fault::StoreDown { polite, for_ms } => {
+            inject_store_fault(context, &down(polite, for_ms), for_ms)
+        }
+        Fault::StoreSlow { delay_ms, for_ms } => {
+            inject_store_fault(context, &slow(delay_ms, for_ms), for_ms)
         }
-        Fault::StoreDown { polite, for_ms } => store(scene, &down(polite, for_ms), for_ms),
-        Fault::StoreSlow { delay_ms, for_ms } => store(scene, &slow(delay_ms, for_ms), for_ms),
         Fault::StoreLosesAnswers { share, for_ms } => {
-            store(scene, &StoreFault::LoseAnswers { for_ms, share }, for_ms)
+            inject_store_fault(context, &StoreFault::LoseAnswers { for_ms, share }, for_ms)
         }
         Fault::TargetAway { target, for_ms } => {
-            let link = link(scene, |l| l.target(target).clone());
-            script(scene, link, &LinkFault::cut(), for_ms)
+            let link = find_link(context, |l| l.target(target).clone());
+            disturb_link(context, link, &LinkFault::cut(), for_ms)
         }
         Fault::TargetReset { target } => {
-            if let Some(link) = link(scene, |l| l.target(target).clone()) {
+            if let Some(link) = find_link(context, |l| l.target(target).clone()) {
                 link.reset();
             }
             Ok(())
         }
-        Fault::RacingOperators => race(scene),
+        Fault::RacingOperators => race_operators(context),
         Fault::DataCentreOut { centre, for_ms } => {
             let name = format!("data centre {centre}");
-            scene.alone(&name, || centre_out(scene, centre, for_ms))
+            context.exclusively(&name, || take_out_centre(context, centre, for_ms))
         }
         Fault::TargetLeaves { target } => {
             let name = format!("target {target}");
-            scene.alone(&name, || target_leaves(scene, target))
+            context.exclusively(&name, || drain_target(context, target))
         }
-        Fault::RollingRestart => scene.alone("a rolling restart", || rolling_restart(scene)),
-        _ => target_fault(scene, fault),
+        Fault::RollingRestart => {
+            context.exclusively("a rolling restart", || rolling_restart(context))
+        }
+        _ => inject_target_fault(context, fault),
     }
 }
 
-fn kill(scene: &Scene, member: Member, for_ms: u64) -> Result<(), String> {
-    scene.cluster().kill(member);
-    scene.sleep(for_ms);
-    let restarted = scene.cluster().restart(member);
+fn kill(context: &RunContext, member: Member, for_ms: u64) -> Result<(), String> {
+    context.cluster().kill(member);
+    context.sleep(for_ms);
+    let restarted = context.cluster().restart(member);
     restarted.map_err(|e| e.to_string())
 }
 
-fn pause(scene: &Scene, member: Member, for_ms: u64) -> Result<(), String> {
-    scene.cluster().pause(member);
-    scene.sleep(for_ms);
-    scene.cluster().thaw(member);
+fn pause(context: &RunContext, member: Member, for_ms: u64) -> Result<(), String> {
+    context.cluster().pause(member);
+    context.sleep(for_ms);
+    context.cluster().thaw(member);
     Ok(())
 }
 
-fn pause_router(scene: &Scene, host: usize, for_ms: u64) -> Result<(), String> {
+fn pause_router(context: &RunContext, host: usize, for_ms: u64) -> Result<(), String> {
     let from = wall_micros();
-    pause(scene, Member::Router(host), for_ms)?;
-    let host = scene.cluster().hosts()[host].callers;
+    pause(context, Member::Router(host), for_ms)?;
+    let host = context.cluster().hosts()[host].callers;
     let until = wall_micros();
-    scene.done().frozen.push(HostTime { host, from, until });
+    context.events().frozen.push(HostTime { host, from, until });
     Ok(())
 }
 
-fn link(scene: &Scene, choose: impl FnOnce(&crate::Links) -> Link) -> Option<Link> {
-    scene.cluster().links().map(choose)
+fn find_link(context: &RunContext, choose: impl FnOnce(&crate::Links) -> Link) -> Option<Link> {
+    context.cluster().links().map(choose)
 }
 
-/// Scripts a link and heals it after a time; a port that is closed because its process has ended stays as
-/// it is.
-fn script(scene: &Scene, link: Option<Link>, fault: &LinkFault, for_ms: u64) -> Result<(), String> {
+/// Applies a fault to a link and removes it after a time.
+///
+/// A port that is closed because its process has ended stays closed.
+fn disturb_link(
+    context: &RunContext,
+    link: Option<Link>,
+    fault: &LinkFault,
+    for_ms: u64,
+) -> Result<(), String> {
     let Some(link) = link else {
         return Err("the cluster has no links".to_owned());
     };
@@ -122,7 +140,7 @@
         closed: link.fault().closed,
         ..fault.clone()
     });
-    scene.sleep(for_ms);
+    context.sleep(for_ms);
     link.set(LinkFault {
         closed: link.fault().closed,
         ..LinkFault::default()
@@ -147,18 +165,18 @@
     }
 }
 
-fn store(scene: &Scene, fault: &StoreFault, for_ms: u64) -> Result<(), String> {
-    let put = {
-        let cluster = scene.cluster();
+fn inject_store_fault(context: &RunContext, fault: &StoreFault, for_ms: u64) -> Result<(), String> {
+    let result = {
+        let cluster = context.cluster();
         cluster.put_fault(cluster.store(), fault)
     };
-    put.map_err(|e| e.to_string())?;
-    scene.sleep(for_ms);
+    result.map_err(|e| e.to_string())?;
+    context.sleep(for_ms);
     Ok(())
 }
 
-fn target_fault(scene: &Scene, fault: &Fault) -> Result<(), String> {
-    let (target, put, wait) = match *fault {
+fn inject_target_fault(context: &RunContext, fault: &Fault) -> Result<(), String> {
+    let (target, injected, duration_ms) = match *fault {
         Fault::TargetSlow {
             target,
             factor,
@@ -189,110 +207,114 @@
             let cut = TargetFault::Cut {
                 for_ms,
                 share,
-                after: CUT_AFTER,
+                after: CUT_AFTER_BYTES,
             };
             (target, cut, for_ms)
         }
-        _ => return Err("no fault of a target".to_owned()),
+        _ => return Err("not a fault of a target".to_owned()),
     };
-    let addr = scene.cluster().targets()[target].addr;
-    let sent = scene.cluster().put_fault(addr, &put);
+    let addr = context.cluster().targets()[target].addr;
+    let sent = context.cluster().put_fault(addr, &injected);
     sent.map_err(|e| e.to_string())?;
-    scene.sleep(wait);
+    context.sleep(duration_ms);
     Ok(())
 }
 
-/// Two operators put configurations that differ in a route's aim.
-fn race(scene: &Scene) -> Result<(), String> {
-    let site = scene.cluster().site();
-    let operator = &scene.operator;
-    let variant = |aim: u64| {
+/// Writes two configurations at once that differ in a route's latency target.
+fn race_operators(context: &RunContext) -> Result<(), String> {
+    let site = context.cluster().site();
+    let operator = &context.operator;
+    let variant = |target_ms: u64| {
         let mut routes: Vec<_> = site.routes().iter().map(|r| (**r).clone()).collect();
-        routes[0].aim = Millis(aim);
+        routes[0].aim = Millis(target_ms);
         let site = &site;
         let organisations = site.organisations();
         let organisations = organisations.map(|all| all.iter().map(|o| (**o).clone()).collect());
         Site::new(site.version, site.limits, site.services.clone(), routes)
             .with_organisations(organisations)
     };
-    let (ada, ben) = (variant(250), variant(350));
+    let (first_site, second_site) = (variant(250), variant(350));
     let (first, second) = std::thread::scope(|s| {
-        let first = s.spawn(|| operator.put("ada", &ada));
-        let second = operator.put("ben", &ben);
+        let first = s.spawn(|| operator.put("ada", &first_site));
+        let second = operator.put("ben", &second_site);
         (first.join(), second)
     });
     match (first, second) {
         (Err(_), _) => Err("the operator's thread panicked".to_owned()),
-        (Ok(Err(a)), Err(b)) => Err(format!("neither change was taken: {a}; {b}")),
+        (Ok(Err(a)), Err(b)) => Err(format!("neither configuration was accepted: {a}; {b}")),
         _ => Ok(()),
     }
 }
 
-fn centre_out(scene: &Scene, centre: usize, for_ms: u64) -> Result<(), String> {
+fn take_out_centre(context: &RunContext, centre: usize, for_ms: u64) -> Result<(), String> {
     let (name, servers) = {
-        let cluster = scene.cluster();
+        let cluster = context.cluster();
         let name = cluster.options().deployment.data_centres()[centre];
-        let of = cluster.targets().iter().filter(|t| t.dc == name);
-        let servers: Vec<_> = of.map(|t| t.name.clone()).collect();
+        let in_centre = cluster.targets().iter().filter(|t| t.dc == name);
+        let servers: Vec<_> = in_centre.map(|t| t.name.clone()).collect();
         (DcName::new(name), servers)
     };
-    let operator = &scene.operator;
-    let taken = operator.take_out(&name);
-    let from = wall_micros() + OUT_AFTER;
-    scene.sleep(for_ms);
+    let operator = &context.operator;
+    let taken_out = operator.take_out(&name);
+    let from = wall_micros() + DRAIN_BOUND_US;
+    context.sleep(for_ms);
     let until = wall_micros();
-    if taken.is_ok() {
-        scene.done().outs.push(OutPeriod {
+    if taken_out.is_ok() {
+        context.events().outs.push(OutPeriod {
             servers,
             from,
             until,
         });
     }
-    let mut last = Ok(());
-    for _ in 0..TRIES {
-        last = operator.bring_back(&name);
-        if last.is_ok() {
+    let mut restored = Ok(());
+    for _ in 0..RESTORE_ATTEMPTS {
+        restored = operator.bring_back(&name);
+        if restored.is_ok() {
             break;
         }
-        scene.sleep(300);
+        context.sleep(300);
     }
-    taken.and(last).map_err(|e| e.to_string())
+    taken_out.and(restored).map_err(|e| e.to_string())
 }
 
-/// A target tells that it leaves, serves what still comes, ends, and another start takes its place.
-fn target_leaves(scene: &Scene, target: usize) -> Result<(), String> {
-    let plan = scene.cluster().targets()[target].clone();
-    let told = scene.cluster().put_fault(plan.addr, &TargetFault::Leave);
-    told.map_err(|e| e.to_string())?;
-    let from = wall_micros() + LEAVE_AFTER;
-    scene.sleep(LEAVE_MS);
+/// Drains a target: it announces that it leaves, keeps serving for a while, is killed and starts again.
+fn drain_target(context: &RunContext, target: usize) -> Result<(), String> {
+    let plan = context.cluster().targets()[target].clone();
+    let announced = context.cluster().put_fault(plan.addr, &TargetFault::Leave);
+    announced.map_err(|e| e.to_string())?;
+    let from = wall_micros() + LEAVE_BOUND_US;
+    context.sleep(LEAVE_DURATION_MS);
     let until = wall_micros();
-    scene.done().outs.push(OutPeriod {
+    context.events().outs.push(OutPeriod {
         servers: vec![plan.name],
         from,
         until,
     });
-    kill(scene, Member::Target(target), 200)
+    kill(context, Member::Target(target), 200)
 }
 
-/// Stops and starts one host after the other, each as planned.
-fn rolling_restart(scene: &Scene) -> Result<(), String> {
-    let hosts = scene.cluster().hosts().len();
+/// Restarts the hosts one after another, each by a planned stop.
+fn rolling_restart(context: &RunContext) -> Result<(), String> {
+    let hosts = context.cluster().hosts().len();
     let mut notes = Vec::new();
     for host in 0..hosts {
-        if scene.is_stopped() {
+        if context.is_stopped() {
             break;
         }
-        if let Err(note) = planned_stop(scene, host) {
+        if let Err(note) = planned_stop(context, host) {
             notes.push(note);
         }
-        let restarted = scene.cluster().restart(Member::Router(host));
+        let restarted = context.cluster().restart(Member::Router(host));
         restarted.map_err(|e| e.to_string())?;
-        let addr = scene.cluster().hosts()[host].readiness;
+        let addr = context.cluster().hosts()[host].readiness;
         let limit = Millis(500);
-        let ready = scene.wait(READY_MS, || crate::cluster::is_ok(addr, "/-/readyz", limit));
+        let ready = context.wait(READY_TIMEOUT_MS, || {
+            crate::cluster::is_ok(addr, "/-/readyz", limit)
+        });
         if !ready {
-            notes.push(format!("host {host} does not take callers again"));
+            notes.push(format!(
+                "host {host} is not ready again within {READY_TIMEOUT_MS} ms"
+            ));
         }
     }
     if notes.is_empty() {
@@ -302,19 +324,19 @@
     }
 }
 
-fn planned_stop(scene: &Scene, host: usize) -> Result<(), String> {
+fn planned_stop(context: &RunContext, host: usize) -> Result<(), String> {
     let member = Member::Router(host);
     let from = wall_micros();
-    scene.cluster().ask_to_stop(member);
-    let ended = scene.wait(STOP_MS, || !scene.cluster().is_running(member));
+    context.cluster().ask_to_stop(member);
+    let ended = context.wait(STOP_TIMEOUT_MS, || !context.cluster().is_running(member));
     let until = wall_micros();
-    // Reaps it, closes its ports, and kills one that did not end.
-    scene.cluster().kill(member);
-    let host = scene.cluster().hosts()[host].callers;
-    scene.done().stops.push(HostTime { host, from, until });
+    // Reaps the process, closes its ports, and kills it if it is still running.
+    context.cluster().kill(member);
+    let host = context.cluster().hosts()[host].callers;
+    context.events().stops.push(HostTime { host, from, until });
     if ended {
         Ok(())
     } else {
-        Err(format!("{member} did not stop within {STOP_MS} ms"))
+        Err(format!("{member} did not stop within {STOP_TIMEOUT_MS} ms"))
     }
 }
--- /dev/null
+++ b/crates/chicoryrail-testkit/src/chaos/context.rs
@@ -0,0 +1,121 @@
+//! State that the workers of a chaos run share.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::Ordering::Relaxed;
+use std::time::Duration;
+use std::time::Instant;
+
+use crate::Cluster;
+use crate::HostTime;
+use crate::Operator;
+use crate::OutPeriod;
+use crate::chaos::FaultRecord;
+
+/// Interval at which a wait checks whether it ends.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// What the chaos run did to the cluster, recorded for the checker.
+#[derive(Debug, Default)]
+pub(crate) struct RunEvents {
+    /// Injected faults, in the order of their ends.
+    pub(crate) faults: Vec<FaultRecord>,
+    /// Periods in which servers are out of service.
+    pub(crate) outs: Vec<OutPeriod>,
+    /// Planned stops of routers.
+    pub(crate) stops: Vec<HostTime>,
+    /// Periods in which routers are paused.
+    pub(crate) frozen: Vec<HostTime>,
+}
+
+/// The cluster and the events of a chaos run.
+///
+/// The cluster's lock is held for a signal, a start or a change of a link, never during a wait, so that two
+/// faults can run at once.
+#[derive(Debug)]
+pub(crate) struct RunContext {
+    cluster: Mutex<Cluster>,
+    events: Mutex<RunEvents>,
+    /// Names of the operator actions in progress.
+    active: Mutex<BTreeSet<String>>,
+    stop: Arc<AtomicBool>,
+    /// Runs operator actions, which don't need the cluster's lock.
+    pub(crate) operator: Operator,
+}
+
+impl RunContext {
+    pub(crate) fn new(cluster: Cluster, stop: Arc<AtomicBool>) -> Self {
+        Self {
+            operator: cluster.operator(),
+            cluster: Mutex::new(cluster),
+            events: Mutex::default(),
+            active: Mutex::default(),
+            stop,
+        }
+    }
+
+    pub(crate) fn cluster(&self) -> MutexGuard<'_, Cluster> {
+        self.cluster.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(crate) fn events(&self) -> MutexGuard<'_, RunEvents> {
+        self.events.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Runs an operator action unless another worker is running the action of the same name.
+    ///
+    /// Two at once would interfere: one would return to service what the other has taken out, or start a
+    /// process whose end the other waits for.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of the action, or that another worker is running it.
+    pub(crate) fn exclusively(
+        &self,
+        name: &str,
+        action: impl FnOnce() -> Result<(), String>,
+    ) -> Result<(), String> {
+        if !self.active().insert(name.to_owned()) {
+            return Err(format!("another worker is busy with {name}"));
+        }
+        let result = action();
+        self.active().remove(name);
+        result
+    }
+
+    fn active(&self) -> MutexGuard<'_, BTreeSet<String>> {
+        self.active.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(crate) fn is_stopped(&self) -> bool {
+        self.stop.load(Relaxed)
+    }
+
+    /// Sleeps for `ms` milliseconds, or until the run is stopped.
+    pub(crate) fn sleep(&self, ms: u64) {
+        let deadline = Instant::now() + Duration::from_millis(ms);
+        while !self.is_stopped() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return;
+            }
+            std::thread::sleep(remaining.min(POLL_INTERVAL));
+        }
+    }
+
+    /// Waits until `ready` returns `true`, at most `ms` milliseconds; returns whether it did.
+    pub(crate) fn wait(&self, ms: u64, mut ready: impl FnMut() -> bool) -> bool {
+        let deadline = Instant::now() + Duration::from_millis(ms);
+        while !ready() {
+            if Instant::now() >= deadline {
+                return false;
+            }
+            std::thread::sleep(POLL_INTERVAL);
+        }
+        true
+    }
+}
--- a/crates/chicoryrail-testkit/src/chaos/fault.rs
+++ b/crates/chicoryrail-testkit/src/chaos/fault.rs
@@ -1,86 +1,87 @@
-//! The faults and how they are drawn.
+//! The kinds of faults and their random choice.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A fault of a chaos run. Hosts, targets and data centres go by their index; times are lengths in
-/// milliseconds.
+/// A fault of a chaos run.
+///
+/// Hosts, targets and data centres are given by index, durations (`for_ms`) in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub(crate) enum Fault {
-    /// A router is killed and started again.
+    /// A router is killed and restarted.
     KillRouter { host: usize, for_ms: u64 },
-    /// A target is killed and started again, cold.
+    /// A target is killed and restarted, and has to warm up.
     KillTarget { target: usize, for_ms: u64 },
-    /// A router is stopped by a signal and goes on later; its leases run out meanwhile.
+    /// A router is paused by a signal and resumed later; its leases expire in the meantime.
     PauseRouter { host: usize, for_ms: u64 },
-    /// A target is stopped by a signal and goes on as if nothing had happened.
+    /// A target is paused by a signal and resumed with its state unchanged.
     PauseTarget { target: usize, for_ms: u64 },
-    /// A host is cut off from the store alone.
+    /// A host's link to the store is cut; its other links work.
     StoreAway { host: usize, for_ms: u64 },
-    /// The store does not answer.
+    /// The store does not execute requests: it responds with status 503 (`polite`) or closes the connection.
     StoreDown { polite: bool, for_ms: u64 },
-    /// The store answers late.
+    /// The store delays its responses.
     StoreSlow { delay_ms: u64, for_ms: u64 },
-    /// The store does what it is asked and its answers are lost.
+    /// The store executes requests and a share of its responses is lost.
     StoreLosesAnswers { share: f64, for_ms: u64 },
-    /// A target can't be reached.
+    /// A target is unreachable.
     TargetAway { target: usize, for_ms: u64 },
-    /// A target is slow.
+    /// A target's service time is multiplied by `factor`.
     TargetSlow {
         target: usize,
         factor: f64,
         for_ms: u64,
     },
-    /// A target turns cold again under the same start.
+    /// A target has to warm up again without a restart.
     TargetCold { target: usize },
-    /// A target names how many requests a second it takes.
+    /// A target advertises a limit of `rate` requests per second.
     TargetLimited {
         target: usize,
         rate: f64,
         for_ms: u64,
     },
-    /// A target hears no call about keys.
+    /// A target does not respond to grants and releases of keys.
     TargetDeaf { target: usize, for_ms: u64 },
-    /// A target announces that it leaves, ends, and another starts in its place.
+    /// A target announces that it leaves, ends, and is started again.
     TargetLeaves { target: usize },
-    /// A target runs requests and its answers are lost.
+    /// A target runs requests and a share of its responses is lost.
     TargetLosesAnswers {
         target: usize,
         share: f64,
         for_ms: u64,
     },
-    /// A target gives requests the answers of others.
+    /// A target responds to a share of the requests with responses of other requests.
     TargetCrossesAnswers {
         target: usize,
         share: f64,
         for_ms: u64,
     },
-    /// A target's answers end within their body.
+    /// A share of a target's responses is cut within the body.
     TargetCutsAnswers {
         target: usize,
         share: f64,
         for_ms: u64,
     },
-    /// The connections to a target are reset.
+    /// Every connection to a target is reset.
     TargetReset { target: usize },
-    /// A host's way to the store is slow and jitters.
+    /// A host's link to the store has delay and jitter.
     StoreFar {
         host: usize,
         delay_ms: u64,
         for_ms: u64,
     },
-    /// Two operators put different configurations at once.
+    /// Two operators write different configurations at once.
     RacingOperators,
-    /// A data centre is taken out of service and brought back.
+    /// A data centre is taken out of service and returned to service.
     DataCentreOut { centre: usize, for_ms: u64 },
-    /// Every host in turn is stopped as planned and started again.
+    /// Every host in turn is stopped by a planned stop and restarted.
     RollingRestart,
 }
 
-/// A fault as it was made.
+/// An injected fault and its times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FaultRecord {
     /// The fault.
@@ -90,45 +91,50 @@
     pub(crate) from: u64,
     /// Wall-clock end in microseconds.
     pub(crate) until: u64,
-    /// What did not go as planned; empty where all did.
+    /// Error of the injection or removal; empty on success.
     pub(crate) note: String,
 }
 
-/// What faults are drawn from.
+/// Numbers of members that faults can choose from.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sizes {
+pub(crate) struct ClusterSize {
     pub(crate) hosts: usize,
     pub(crate) targets: usize,
-    pub(crate) centres: usize,
+    pub(crate) data_centres: usize,
 }
 
-/// Number of kinds of faults, and of those that are drawn where none are named. One more there would change what each
-/// fixed seed draws.
-const KINDS: u32 = 21;
-const UNNAMED_KINDS: u32 = 20;
+/// Number of kinds that [`Fault::generate`] chooses from.
+const KIND_COUNT: u32 = 21;
 
-/// Draws tried for a fault among those that are wanted.
-const DRAWS: u32 = 10_000;
+/// Number of kinds to choose from where the options name none: a further kind would change the faults that
+/// each fixed seed gives.
+const DEFAULT_KIND_COUNT: u32 = 20;
+
+/// Random faults generated at most until one is of a wanted kind.
+const MAX_DRAWS: u32 = 10_000;
 
 impl Fault {
-    /// Draws a fault; `only` names those that are wanted, none for all.
-    pub(crate) fn draw(rng: &mut Pcg64Mcg, sizes: Sizes, only: &[String]) -> Option<Self> {
-        let kinds = if only.is_empty() {
-            UNNAMED_KINDS
+    /// Returns a random fault of one of the named kinds, of any default kind where no kind is named.
+    ///
+    /// Returns `None` where none of the names is that of a kind.
+    pub(crate) fn random(rng: &mut Pcg64Mcg, size: ClusterSize, names: &[String]) -> Option<Self> {
+        let kind_count = if names.is_empty() {
+            DEFAULT_KIND_COUNT
         } else {
-            KINDS
+            KIND_COUNT
         };
-        (0..DRAWS)
-            .map(|_| Self::any(rng, sizes, kinds))
-            .find(|f| only.is_empty() || only.iter().any(|n| n == f.name()))
+        (0..MAX_DRAWS)
+            .map(|_| Self::generate(rng, size, kind_count))
+            .find(|f| names.is_empty() || names.iter().any(|n| n == f.name()))
     }
 
-    fn any(rng: &mut Pcg64Mcg, sizes: Sizes, kinds: u32) -> Self {
-        let host = rng.random_range(0..sizes.hosts);
-        let target = rng.random_range(0..sizes.targets);
+    /// Returns a random fault of one of the first `kind_count` kinds.
+    fn generate(rng: &mut Pcg64Mcg, size: ClusterSize, kind_count: u32) -> Self {
+        let host = rng.random_range(0..size.hosts);
+        let target = rng.random_range(0..size.targets);
         let for_ms = rng.random_range(300..3_000);
         let share = rng.random_range(0.1..1.0);
-        match rng.random_range(0..kinds) {
+        match rng.random_range(0..kind_count) {
             0 => Self::KillRouter { host, for_ms },
             1 => Self::KillTarget { target, for_ms },
             2 => Self::PauseRouter { host, for_ms },
@@ -180,7 +186,7 @@
                 for_ms: 5_000 + for_ms,
             },
             _ if rng.random() => Self::DataCentreOut {
-                centre: rng.random_range(0..sizes.centres),
+                centre: rng.random_range(0..size.data_centres),
                 for_ms: 3_500 + for_ms,
             },
             _ => Self::RollingRestart,
@@ -215,7 +221,7 @@
         }
     }
 
-    /// Tells whether the fault is an act of operators that must cut no request.
+    /// Returns whether the fault is an operator action, during which no request may be cut.
     pub(crate) const fn is_planned(&self) -> bool {
         matches!(
             self,
@@ -226,17 +232,18 @@
         )
     }
 
-    /// Tells whether a host is killed, restarted or frozen, so that it may not know, or not keep, a target's limit.
-    pub(crate) const fn strikes_hosts(&self) -> bool {
+    /// Returns whether the fault kills, restarts or pauses a host: the host may then not know, or not apply,
+    /// the limit of a target.
+    pub(crate) const fn interrupts_hosts(&self) -> bool {
         matches!(
             self,
             Self::KillRouter { .. } | Self::PauseRouter { .. } | Self::RollingRestart
         )
     }
 
-    /// Tells whether what is announced in the store may not be heard in time, or not hold any more: a target
-    /// that starts again has not announced its leave.
-    pub(crate) const fn delays_news(&self) -> bool {
+    /// Returns whether the fault can delay an announcement in the store or void it: a target that restarts has
+    /// not announced that it leaves.
+    pub(crate) const fn delays_announcements(&self) -> bool {
         matches!(
             self,
             Self::StoreAway { .. }
--- a/crates/chicoryrail-testkit/src/chaos/options.rs
+++ b/crates/chicoryrail-testkit/src/chaos/options.rs
@@ -1,4 +1,4 @@
-//! Settings of a chaos run.
+//! Options of a chaos run.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -8,33 +8,33 @@
 
 use crate::Deployment;
 
-/// Settings of a chaos run.
+/// Options of a chaos run.
 #[derive(Clone, Debug)]
 pub struct ChaosOptions {
     /// Seed of the faults, the load and the stand-ins.
     pub seed: u64,
-    /// Length of the load; faults stop some seconds before its end.
+    /// Duration of the load; no fault starts in the last seconds of it.
     pub length: Millis,
-    /// Whose sizes the run has.
+    /// Deployment whose data centres, services and targets the cluster has.
     pub deployment: Deployment,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Faults that are drawn, by their names; all where empty.
+    /// Names of the kinds of faults to inject, as in JSON; empty for the default kinds.
     pub only: Vec<String>,
-    /// Folder of the programs; the one of the running program where `None`.
+    /// Directory of the programs; `None` for that of the running program.
     pub bin: Option<PathBuf>,
-    /// Whether logs and ledgers are kept where no promise was broken.
+    /// Whether logs and ledgers are kept after a run without violations.
     pub keep: bool,
-    /// Set by another thread to end the run early.
+    /// Flag that another thread sets to end the run early.
     pub stop: Arc<AtomicBool>,
 }
 
 impl ChaosOptions {
-    /// Returns the usual settings: five hosts, 250 requests a second for 20 s.
+    /// Returns the default options: five hosts, 250 requests per second for 20 s.
     ///
-    /// With five hosts two may be lost at once and a majority is left.
+    /// Of five hosts two may fail at once and a majority remains.
     #[must_use]
     pub fn new(deployment: Deployment, seed: u64) -> Self {
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Sets the length of the load.
+    /// Sets the duration of the load.
     #[must_use]
     pub fn with_length(mut self, length: Millis) -> Self {
         self.length = length;
--- a/crates/chicoryrail-testkit/src/chaos/run.rs
+++ b/crates/chicoryrail-testkit/src/chaos/run.rs
@@ -1,4 +1,4 @@
-//! A chaos run from start to summary.
+//! A chaos run, from the start of the cluster to the summary.
 
 use std::fs;
 use std::time::Instant;
@@ -18,74 +18,74 @@
 use crate::Summary;
 use crate::Violation;
 use crate::chaos::FaultRecord;
-use crate::chaos::fault::Sizes;
-use crate::chaos::lane::lane;
+use crate::chaos::context::RunContext;
+use crate::chaos::context::RunEvents;
+use crate::chaos::fault::ClusterSize;
 use crate::chaos::options::ChaosOptions;
-use crate::chaos::scene::Done;
-use crate::chaos::scene::Scene;
+use crate::chaos::worker::run_worker;
 use crate::wall_micros;
 
-/// Lanes that make faults: two faults at once.
-const LANES: u64 = 2;
+/// Number of worker threads that inject faults: this many faults can be active at once.
+const WORKERS: u64 = 2;
 
-/// Time before the end of the load in which no fault starts, so that what was cut can heal.
-const CALM: Millis = Millis(4_000);
+/// Time before the end of the load in which no fault starts, so that the cluster can recover.
+const RECOVERY_TIME: Millis = Millis(4_000);
 
-/// Length of a target's cold start in a chaos run.
-const COLD: Millis = Millis(1_500);
+/// Warm-up time of a target.
+const WARMUP_TIME: Millis = Millis(1_500);
 
-/// Longest time until every host takes callers.
-const READY_LIMIT: Millis = Millis(30_000);
+/// Longest time until every host passes its readiness check.
+const READY_TIMEOUT: Millis = Millis(30_000);
 
-/// Keys that the load asks for in each service: few, so that each is asked for often enough to see
-/// how long it is unavailable.
-const KEYS: u32 = 40;
+/// Number of keys that the load uses in each service: few, so that each is requested often enough to
+/// measure how long it is unavailable.
+const KEYS_PER_SERVICE: u32 = 40;
 
-/// Runs a deployment under faults and checks what callers, targets and the store saw.
+/// Runs a deployment under faults and checks the records of callers, targets and the store.
 ///
 /// # Errors
 ///
-/// Returns why the cluster could not be started or its evidence not be read; broken promises are
-/// in the summary.
+/// Returns an error if the cluster fails to start or its evidence cannot be read. Violations are not errors;
+/// the summary lists them.
 pub fn run(options: &ChaosOptions) -> Result<Summary, ClusterError> {
     let started = Instant::now();
     let cluster = start(options)?;
-    cluster.configure(READY_LIMIT)?;
-    // The run is of a deployment at work: where every server is cold alike, none has a usual
-    // service time to compare with. Later cold starts come as faults.
-    std::thread::sleep(COLD.duration().saturating_sub(started.elapsed()));
-    let sizes = Sizes {
+    cluster.configure(READY_TIMEOUT)?;
+    // Wait until the targets are warmed up: while every server is warming up, none has a usual service time to
+    // compare with. Later warm-ups come from faults.
+    std::thread::sleep(WARMUP_TIME.duration().saturating_sub(started.elapsed()));
+    let size = ClusterSize {
         hosts: cluster.hosts().len(),
         targets: cluster.targets().len(),
-        centres: options.deployment.data_centres().len(),
+        data_centres: options.deployment.data_centres().len(),
     };
     let load = Load::new(load(options, &cluster));
-    let scene = Scene::new(cluster, std::sync::Arc::clone(&options.stop));
-    let ends = wall_micros() + options.length.since(CALM).0 * 1000;
+    let context = RunContext::new(cluster, std::sync::Arc::clone(&options.stop));
+    let end_us = wall_micros() + options.length.since(RECOVERY_TIME).0 * 1000;
     let progress = load.progress();
     let records = std::thread::scope(|s| {
-        for i in 0..LANES {
-            let (scene, seed) = (&scene, options.seed.wrapping_mul(LANES).wrapping_add(i));
-            s.spawn(move || lane(scene, seed, sizes, &options.only, ends));
+        for i in 0..WORKERS {
+            let (context, seed) = (&context, options.seed.wrapping_mul(WORKERS).wrapping_add(i));
+            s.spawn(move || run_worker(context, seed, size, &options.only, end_us));
         }
-        let loaded = s.spawn(|| block_on(load.run()));
-        while !loaded.is_finished() {
-            if scene.is_stopped() {
+        let load_thread = s.spawn(|| block_on(load.run()));
+        while !load_thread.is_finished() {
+            if context.is_stopped() {
                 progress
                     .stop
                     .store(true, std::sync::atomic::Ordering::Relaxed);
             }
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
-        loaded.join().unwrap_or_default()
+        load_thread.join().unwrap_or_default()
     });
-    finish(options, &scene, records)
+    finish(options, &context, records)
 }
 
 fn start(options: &ChaosOptions) -> Result<Cluster, ClusterError> {
     let mut cluster = ClusterOptions::new(options.deployment)
         .with_hosts(options.hosts)
-        .with_cold(COLD)
+        .with_cold(WARMUP_TIME)
         .with_proxy();
     cluster.seed = options.seed;
     cluster.bin.clone_from(&options.bin);
@@ -93,10 +93,15 @@
 }
 
 fn load(options: &ChaosOptions, cluster: &Cluster) -> LoadOptions {
-    let few = |s: LoadService| s.with_keys(KEYS, 0.0);
+    let with_few_keys = |s: LoadService| s.with_keys(KEYS_PER_SERVICE, 0.0);
     LoadOptions {
         hosts: cluster.entries(),
-        services: options.deployment.load().into_iter().map(few).collect(),
+        services: options
+            .deployment
+            .load()
+            .into_iter()
+            .map(with_few_keys)
+            .collect(),
         length: options.length,
         rate: Some(options.rate),
         seed: options.seed,
@@ -106,31 +111,31 @@
 
 fn finish(
     options: &ChaosOptions,
-    scene: &Scene,
+    context: &RunContext,
     records: Vec<CallRecord>,
 ) -> Result<Summary, ClusterError> {
-    let mut cluster = scene.cluster();
+    let mut cluster = context.cluster();
     let crashed = cluster.check().err().map(|e| e.to_string());
-    let Done {
+    let RunEvents {
         mut faults,
         outs,
         stops,
         frozen,
-    } = std::mem::take(&mut *scene.done());
+    } = std::mem::take(&mut *context.events());
     faults.sort_by_key(|f| f.from);
-    let mut seen = Evidence {
+    let mut evidence = Evidence {
         outs,
         frozen,
         stops,
         ..cluster.evidence(records)?
     };
-    leave_out_disturbed(&mut seen, &faults);
-    let violations = Violation::find(&seen);
+    discard_disturbed(&mut evidence, &faults);
+    let violations = Violation::find(&evidence);
     let mut summary = Summary {
         deployment: options.deployment.to_string(),
         seed: options.seed,
         crashed: crashed.into_iter().collect(),
-        ..Summary::of(&seen.records, &faults).with_violations(&violations)
+        ..Summary::of(&evidence.records, &faults).with_violations(&violations)
     };
     let dir = cluster.dir().to_owned();
     if summary.is_clean() && !options.keep {
@@ -141,7 +146,7 @@
     let parts = [
         ("violations.json", serde_json::to_string_pretty(&violations)),
         ("faults.json", serde_json::to_string_pretty(&faults)),
-        ("evidence.json", serde_json::to_string(&seen)),
+        ("evidence.json", serde_json::to_string(&evidence)),
     ];
     for (name, text) in parts {
         let _ = fs::write(dir.join(name), text.unwrap_or_default());
@@ -149,32 +154,37 @@
     Ok(summary)
 }
 
-/// Time after a fault in which its effect may last, in microseconds.
-const AFTER: u64 = 1_000_000;
+/// Time after the end of a fault in which its effect may last, in microseconds.
+const AFTER_FAULT_US: u64 = 1_000_000;
 
-/// Time before an announcement's bound in which a fault may have kept it from being heard, in microseconds:
-/// the longest time allowed, and the time for which the longest watch stays silent after an outage.
-const BEFORE: u64 = 5_000_000;
+/// Time before an announcement's bound in which a fault can delay its delivery, in microseconds: the longest
+/// bound, and the longest time for which a watch delivers no events after an outage.
+const BEFORE_BOUND_US: u64 = 5_000_000;
 
-/// Leaves out what is promised of an undisturbed system only: that a planned stop cuts no request, and that
-/// what a server or operator announces in the store is heard in time.
-fn leave_out_disturbed(seen: &mut Evidence, faults: &[FaultRecord]) {
-    let during =
-        |f: &FaultRecord, from: u64, until: u64| f.from <= until && f.until + AFTER >= from;
-    let unplanned = |s: &HostTime| {
+/// Removes evidence of guarantees that hold without concurrent faults only: that a planned stop cuts no
+/// request, and that announcements of servers and operators in the store take effect in time.
+fn discard_disturbed(evidence: &mut Evidence, faults: &[FaultRecord]) {
+    let overlaps = |f: &FaultRecord, from: u64, until: u64| {
+        f.from <= until && f.until + AFTER_FAULT_US >= from
+    };
+    let is_disturbed = |s: &HostTime| {
         let mut faults = faults.iter().filter(|f| !f.fault.is_planned());
-        faults.any(|f| during(f, s.from, s.until))
+        faults.any(|f| overlaps(f, s.from, s.until))
     };
-    seen.stops.retain(|s| !unplanned(s));
-    let unheard = |from: u64, until: u64| {
-        let mut faults = faults.iter().filter(|f| f.fault.delays_news());
-        faults.any(|f| during(f, from.saturating_sub(BEFORE), until))
+    evidence.stops.retain(|s| !is_disturbed(s));
+    let may_be_delayed = |from: u64, until: u64| {
+        let mut faults = faults.iter().filter(|f| f.fault.delays_announcements());
+        faults.any(|f| overlaps(f, from.saturating_sub(BEFORE_BOUND_US), until))
     };
-    seen.outs.retain(|o| !unheard(o.from, o.until));
-    seen.overruns.retain(|o| !unheard(o.time, o.time));
-    let host_struck = |from: u64, until: u64| {
-        let mut faults = faults.iter().filter(|f| f.fault.strikes_hosts());
-        faults.any(|f| during(f, from.saturating_sub(BEFORE), until))
+    evidence.outs.retain(|o| !may_be_delayed(o.from, o.until));
+    evidence
+        .overruns
+        .retain(|o| !may_be_delayed(o.time, o.time));
+    let host_interrupted = |from: u64, until: u64| {
+        let mut faults = faults.iter().filter(|f| f.fault.interrupts_hosts());
+        faults.any(|f| overlaps(f, from.saturating_sub(BEFORE_BOUND_US), until))
     };
-    seen.limit_overruns.retain(|o| !host_struck(o.time, o.time));
+    evidence
+        .limit_overruns
+        .retain(|o| !host_interrupted(o.time, o.time));
 }
--- a/crates/chicoryrail-testkit/src/chaos/summary.rs
+++ b/crates/chicoryrail-testkit/src/chaos/summary.rs
@@ -1,4 +1,4 @@
-//! What a chaos run came to.
+//! Summary of a chaos run.
 
 use std::collections::BTreeMap;
 
@@ -13,59 +13,59 @@
 use crate::Violation;
 use crate::chaos::FaultRecord;
 
-/// Violations listed in the summary; all of them stand in the run's folder.
-const LISTED: usize = 10;
+/// Violations listed in the summary at most; the run's directory has all of them.
+const MAX_LISTED: usize = 10;
 
-/// Time after a fault that still counts as its own, in microseconds.
-const AFTER: u64 = 1_000_000;
+/// Time after the end of a fault that is still counted as part of it, in microseconds.
+const AFTER_FAULT_US: u64 = 1_000_000;
 
-/// The result of a run, printed as its last line in JSON.
+/// The result of a run. The chaos program prints it in JSON as its last line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// Name of the deployment.
     pub deployment: String,
     /// Seed of the run.
     pub seed: u64,
-    /// Promises that were broken.
+    /// Number of violations of the guarantees.
     pub violations: u64,
-    /// The first of them.
+    /// The first violations.
     pub found: Vec<Violation>,
-    /// Processes that ended although nobody stopped them.
+    /// Processes that ended without having been stopped or killed.
     pub crashed: Vec<String>,
     /// Requests sent.
     pub requests: u64,
-    /// Requests answered.
+    /// Requests that succeeded.
     pub ok: u64,
     /// Requests refused before they ran.
     pub refused: u64,
-    /// Requests that may have run.
+    /// Requests with an indeterminate outcome: they may have run.
     pub unknown: u64,
-    /// Length that 99 in 100 of the times stay within in which a key was unavailable.
+    /// 99th percentile of the times for which a key was unavailable.
     pub unavailable_ms_p99: u64,
-    /// The longest time in which a key was unavailable.
+    /// The longest time for which a key was unavailable.
     pub unavailable_ms_max: u64,
-    /// Share of the orders that were answered.
+    /// Fraction of the orders that succeeded.
     pub order_share: f64,
-    /// Share of the orders that were answered while faults of a kind lasted, and a second longer.
+    /// Fraction of the orders that succeeded, of those sent during faults of a kind or up to a second after.
     pub orders_by_fault: BTreeMap<String, f64>,
     /// Median latency of lookups.
     pub lookup_p50_ms: f64,
-    /// Latency that 99 in 100 lookups stay within.
+    /// 99th percentile of the latency of lookups.
     pub lookup_p99_ms: f64,
-    /// The faults made, in the order of their ends.
+    /// The injected faults, in the order of their starts.
     pub faults: Vec<String>,
-    /// Availability of lookups while faults of a kind lasted, and a second longer.
+    /// Availability for lookups sent during faults of a kind or up to a second after.
     pub by_fault: BTreeMap<String, Availability>,
-    /// Folder of logs, ledgers and the time line, where they were kept.
+    /// Directory of the logs and of the violations, faults and evidence in JSON, if kept.
     pub kept: Option<String>,
 }
 
 impl Summary {
-    /// Sums up the load and the faults.
+    /// Summarises the records of the load and the faults.
     pub(crate) fn of(records: &[CallRecord], faults: &[FaultRecord]) -> Self {
         let load = LoadSummary::of(records);
         let all = Availability::of(records);
-        let first = records.iter().map(|r| r.intended).min().unwrap_or(0);
+        let start_us = records.iter().map(|r| r.intended).min().unwrap_or(0);
         Self {
             requests: load.requests,
             ok: load.ok,
@@ -75,7 +75,7 @@
             unavailable_ms_max: all.unavailable_ms_max,
             lookup_p50_ms: load.lookup_p50_ms,
             lookup_p99_ms: load.lookup_p99_ms,
-            faults: faults.iter().map(|f| line(f, first)).collect(),
+            faults: faults.iter().map(|f| format_fault(f, start_us)).collect(),
             order_share: order_share(records),
             orders_by_fault: by_fault(records, faults, order_share),
             by_fault: by_fault(records, faults, Availability::of),
@@ -83,28 +83,29 @@
         }
     }
 
-    /// Adds the broken promises.
+    /// Adds the violations.
     #[must_use]
     pub(crate) fn with_violations(mut self, violations: &[Violation]) -> Self {
         self.violations = violations.len() as u64;
-        self.found = violations.iter().take(LISTED).cloned().collect();
+        self.found = violations.iter().take(MAX_LISTED).cloned().collect();
         self
     }
 
-    /// Tells whether every promise was kept and every process stayed up.
+    /// Returns whether there was no violation and no process crashed.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.violations == 0 && self.crashed.is_empty()
     }
 }
 
-/// Writes a fault in one line: what, from when to when in milliseconds of the run, and its note.
-fn line(record: &FaultRecord, first: u64) -> String {
-    let from = record.from.saturating_sub(first) / 1000;
-    let until = record.until.saturating_sub(first) / 1000;
-    let what = serde_json::to_value(&record.fault).unwrap_or_default();
-    let parts = what.as_object().into_iter().flatten();
-    let args: Vec<_> = parts
+/// Formats a fault in one line: its kind and arguments, its start and end in milliseconds since `start_us`, and
+/// its note.
+fn format_fault(record: &FaultRecord, start_us: u64) -> String {
+    let from = record.from.saturating_sub(start_us) / 1000;
+    let until = record.until.saturating_sub(start_us) / 1000;
+    let fields = serde_json::to_value(&record.fault).unwrap_or_default();
+    let entries = fields.as_object().into_iter().flatten();
+    let args: Vec<_> = entries
         .filter(|(name, _)| *name != "kind" && *name != "for_ms")
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
@@ -119,31 +120,32 @@
     text
 }
 
-/// Judges the requests that started while faults of a kind lasted, kind by kind.
+/// Evaluates, for each kind of fault, the requests that were due during faults of that kind or up to
+/// [`AFTER_FAULT_US`] after.
 fn by_fault<'a, T>(
     records: &'a [CallRecord],
     faults: &[FaultRecord],
-    judge: impl Fn(Vec<&'a CallRecord>) -> T,
+    evaluate: impl Fn(Vec<&'a CallRecord>) -> T,
 ) -> BTreeMap<String, T> {
     let mut kinds: BTreeMap<&str, Vec<&FaultRecord>> = BTreeMap::new();
     for fault in faults {
         kinds.entry(fault.fault.name()).or_default().push(fault);
     }
-    let during = |faults: &[&FaultRecord]| {
-        let at = |r: &&CallRecord| {
+    let evaluate_during = |faults: &[&FaultRecord]| {
+        let is_during = |r: &&CallRecord| {
             faults
                 .iter()
-                .any(|f| r.intended >= f.from && r.intended <= f.until + AFTER)
+                .any(|f| r.intended >= f.from && r.intended <= f.until + AFTER_FAULT_US)
         };
-        judge(records.iter().filter(at).collect())
+        evaluate(records.iter().filter(is_during).collect())
     };
-    let judged = kinds.into_iter();
-    judged
-        .map(|(kind, of)| (kind.to_owned(), during(&of)))
+    let by_kind = kinds.into_iter();
+    by_kind
+        .map(|(kind, group)| (kind.to_owned(), evaluate_during(&group)))
         .collect()
 }
 
-/// Returns the share of the orders that were answered.
+/// Returns the fraction of the orders that succeeded; 1 if there are none.
 fn order_share<'a>(records: impl IntoIterator<Item = &'a CallRecord>) -> f64 {
     let (mut orders, mut done) = (0_u64, 0_u64);
     for record in records {
--- /dev/null
+++ b/crates/chicoryrail-testkit/src/chaos/worker.rs
@@ -0,0 +1,45 @@
+//! A worker thread that injects one fault after another.
+
+use rand::Rng;
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+
+use crate::chaos::act;
+use crate::chaos::context::RunContext;
+use crate::chaos::fault::ClusterSize;
+use crate::chaos::fault::Fault;
+use crate::chaos::fault::FaultRecord;
+use crate::wall_micros;
+
+/// Injects faults until the wall clock reaches `end_us`, in microseconds.
+///
+/// The choice of faults depends on the seed only: the time that a fault takes shifts the later faults but
+/// does not change them.
+pub(crate) fn run_worker(
+    context: &RunContext,
+    seed: u64,
+    size: ClusterSize,
+    kinds: &[String],
+    end_us: u64,
+) {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    loop {
+        context.sleep(rng.random_range(200..1_500));
+        let Some(fault) = Fault::random(&mut rng, size, kinds) else {
+            return;
+        };
+        if context.is_stopped() || wall_micros() >= end_us {
+            return;
+        }
+        let from = wall_micros();
+        log::info!("fault {fault:?}");
+        let note = act::inject(context, &fault).err().unwrap_or_default();
+        let record = FaultRecord {
+            fault,
+            from,
+            until: wall_micros(),
+            note,
+        };
+        context.events().faults.push(record);
+    }
+}
