--- a/crates/chicoryrail-testkit/src/checker.rs
+++ b/crates/chicoryrail-testkit/src/checker.rs
@@ -1,15 +1,15 @@
-//! What must hold over what callers, targets and the store saw.
+//! Checks of the guarantees against the records of callers, targets and the store.
 
-mod answers;
-mod assigned;
 mod availability;
 mod evidence;
+mod exclusivity;
 mod find;
 mod orders;
 mod organisations;
-mod owners;
 mod placement;
-mod stored;
+mod responses;
+mod stored_owners;
+mod versions;
 mod violation;
 
 pub use availability::Availability;
--- a/crates/chicoryrail-testkit/src/checker/evidence.rs
+++ b/crates/chicoryrail-testkit/src/checker/evidence.rs
@@ -1,4 +1,4 @@
-//! What was seen.
+//! Evidence of a run for the checks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,41 +13,42 @@
 use crate::Overrun;
 use crate::Run;
 
-/// What callers, targets and the store saw, and what the harness did; never the product's own word.
+/// Records of callers, targets and the store, and the actions of the harness; nothing that the product reports
+/// about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Requests as their callers saw them.
+    /// Requests and their outcomes as recorded by the callers.
     pub records: Vec<CallRecord>,
-    /// Requests that took effect, of all targets.
+    /// Requests that targets ran, of all targets.
     pub runs: Vec<Run>,
-    /// Overruns of cold targets.
+    /// Overruns of targets that were warming up.
     pub overruns: Vec<Overrun>,
-    /// Overruns of limited targets.
+    /// Overruns of targets that advertised a limit.
     #[serde(default)]
     pub limit_overruns: Vec<LimitOverrun>,
     /// Writes of the store, oldest first.
     pub history: Vec<Change>,
-    /// Times in which servers were out of service.
+    /// Periods in which servers were out of service.
     pub outs: Vec<OutPeriod>,
-    /// Planned stops of routers during which nothing else was wrong.
+    /// Planned stops of routers without a concurrent fault.
     pub stops: Vec<HostTime>,
-    /// Times in which routers were paused.
+    /// Periods in which routers were paused.
     pub frozen: Vec<HostTime>,
-    /// Requests of an organisation that may run in any window, by its name.
+    /// Quota of each organisation, by name.
     pub quotas: BTreeMap<String, QuotaWindow>,
 }
 
-/// Requests of an organisation that may run in any window.
+/// Number of requests of an organisation that may run in any window of a given length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaWindow {
     /// Length of the window in milliseconds.
     pub length_ms: u64,
-    /// Requests.
+    /// Number of requests allowed in a window.
     pub requests: u64,
 }
 
 impl Evidence {
-    /// Adds what the targets saw.
+    /// Adds the targets' ledgers.
     #[must_use]
     pub fn with_ledgers(mut self, ledgers: Vec<Ledger>) -> Self {
         for ledger in ledgers {
@@ -59,24 +60,24 @@
     }
 }
 
-/// A time in which servers must get no new work, wall clock in microseconds.
+/// A period in which servers must get no new requests, wall clock in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutPeriod {
     /// Names of the servers.
     pub servers: Vec<String>,
-    /// When the time allowed to the system after the announcement was over.
+    /// End of the time allowed to the system after the announcement.
     pub from: u64,
-    /// When they were asked back, or ended.
+    /// When the servers were returned to service, or ended.
     pub until: u64,
 }
 
-/// A time of a router, wall clock in microseconds: of a planned stop or of a pause.
+/// Period of a planned stop or a pause of a router, wall clock in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostTime {
-    /// The router's listener for callers.
+    /// Address of the router's listener for callers.
     pub host: SocketAddr,
-    /// When it was asked to stop, or was paused.
+    /// When the stop was requested, or the pause began.
     pub from: u64,
-    /// When it had ended, or went on.
+    /// When the router had ended, or was resumed.
     pub until: u64,
 }
--- a/crates/chicoryrail-testkit/src/checker/owners.rs
+++ b/crates/chicoryrail-testkit/src/checker/exclusivity.rs
@@ -1,4 +1,4 @@
-//! One owner at a time.
+//! Checks that a key has one owner at a time, and that its fence grows with each change of the owner.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +6,9 @@
 use crate::Run;
 use crate::Violation;
 
-pub(super) fn check(seen: &Evidence) -> Vec<Violation> {
+pub(super) fn check(evidence: &Evidence) -> Vec<Violation> {
     let mut by_key: BTreeMap<(&str, u16), Vec<&Run>> = BTreeMap::new();
-    for run in &seen.runs {
+    for run in &evidence.runs {
         if let Some(key) = run.key {
             by_key.entry((&run.service, key)).or_default().push(run);
         }
@@ -20,7 +20,7 @@
     runs.sort_by_key(|r| (r.start, r.end));
     let mut found = Vec::new();
     for (i, run) in runs.iter().enumerate() {
-        let Some(before) = runs[..i].iter().rev().find(|r| r.server != run.server) else {
+        let Some(previous) = runs[..i].iter().rev().find(|r| r.server != run.server) else {
             continue;
         };
         let overlaps = |r: &&&Run| r.server != run.server && r.end > run.start;
@@ -31,14 +31,14 @@
                 time: run.start,
             });
         }
-        // Compared where the key passes from one server to another.
-        if runs[i - 1].server == before.server
-            && let (Some(old), Some(new)) = (before.fence, run.fence)
+        // Only the first run after a change of the owner is compared.
+        if runs[i - 1].server == previous.server
+            && let (Some(old), Some(new)) = (previous.fence, run.fence)
             && new <= old
         {
             found.push(Violation::FenceBack {
                 key,
-                servers: [before.server.clone(), run.server.clone()],
+                servers: [previous.server.clone(), run.server.clone()],
                 fences: [old, new],
                 time: run.start,
             });
--- a/crates/chicoryrail-testkit/src/checker/find.rs
+++ b/crates/chicoryrail-testkit/src/checker/find.rs
@@ -1,26 +1,26 @@
-//! All checks together.
+//! Runs all checks.
 
 use crate::Evidence;
 use crate::Violation;
-use crate::checker::answers;
-use crate::checker::assigned;
+use crate::checker::exclusivity;
 use crate::checker::orders;
 use crate::checker::organisations;
-use crate::checker::owners;
 use crate::checker::placement;
-use crate::checker::stored;
+use crate::checker::responses;
+use crate::checker::stored_owners;
+use crate::checker::versions;
 
 impl Violation {
-    /// Returns every broken promise that shows in what was seen.
+    /// Returns every violation that the evidence shows.
     #[must_use]
-    pub fn find(seen: &Evidence) -> Vec<Self> {
-        let mut found = owners::check(seen);
-        found.extend(assigned::check(seen));
-        found.extend(orders::check(seen));
-        found.extend(answers::check(seen));
-        found.extend(stored::check(seen));
-        found.extend(placement::check(seen));
-        found.extend(organisations::check(seen));
+    pub fn find(evidence: &Evidence) -> Vec<Self> {
+        let mut found = exclusivity::check(evidence);
+        found.extend(stored_owners::check(evidence));
+        found.extend(orders::check(evidence));
+        found.extend(responses::check(evidence));
+        found.extend(versions::check(evidence));
+        found.extend(placement::check(evidence));
+        found.extend(organisations::check(evidence));
         found
     }
 }
--- a/crates/chicoryrail-testkit/src/checker/orders.rs
+++ b/crates/chicoryrail-testkit/src/checker/orders.rs
@@ -1,4 +1,4 @@
-//! Orders run at most once, and what a caller was told of its request is true.
+//! Checks that orders run at most once and that the outcome reported to a caller is true.
 
 use std::collections::BTreeMap;
 
@@ -8,21 +8,23 @@
 use crate::Run;
 use crate::Violation;
 
-pub(super) fn check(seen: &Evidence) -> Vec<Violation> {
-    let mut ran: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
-    for run in &seen.runs {
-        ran.entry(&run.request).or_default().push(run);
+pub(super) fn check(evidence: &Evidence) -> Vec<Violation> {
+    let mut runs_by_request: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
+    for run in &evidence.runs {
+        runs_by_request.entry(&run.request).or_default().push(run);
     }
     let servers = |runs: &[&Run]| runs.iter().map(|r| r.server.clone()).collect();
-    let twice = ran.iter().filter(|(_, r)| r.len() > 1 && r[0].order);
-    let mut found: Vec<_> = twice
+    let duplicates = runs_by_request
+        .iter()
+        .filter(|(_, r)| r.len() > 1 && r[0].order);
+    let mut found: Vec<_> = duplicates
         .map(|(request, runs)| Violation::OrderTwice {
             request: (*request).to_owned(),
             servers: servers(runs),
         })
         .collect();
-    for record in &seen.records {
-        let runs = ran.get(record.request.as_str());
+    for record in &evidence.records {
+        let runs = runs_by_request.get(record.request.as_str());
         match (record.outcome, runs) {
             (Outcome::Done, None) if record.kind == LoadKind::Order => {
                 found.push(Violation::OrderLost {
--- a/crates/chicoryrail-testkit/src/checker/organisations.rs
+++ b/crates/chicoryrail-testkit/src/checker/organisations.rs
@@ -1,4 +1,5 @@
-//! Nothing runs in another organisation's name, without a key, or beyond a limit.
+//! Checks that no request runs for a wrong organisation, with an invalid API key or beyond a quota, and that
+//! no API key reaches a server.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +7,30 @@
 use crate::Evidence;
 use crate::Violation;
 
-pub(super) fn check(seen: &Evidence) -> Vec<Violation> {
-    let mut found = unauthorised(seen);
-    let leaked = seen.runs.iter().filter(|r| r.key_leaked);
-    found.extend(leaked.map(|r| Violation::KeyLeaked {
+pub(super) fn check(evidence: &Evidence) -> Vec<Violation> {
+    let mut found = unauthorised(evidence);
+    let leaks = evidence.runs.iter().filter(|r| r.key_leaked);
+    found.extend(leaks.map(|r| Violation::KeyLeaked {
         request: r.request.clone(),
     }));
-    found.extend(over_quota(seen));
+    found.extend(over_quota(evidence));
     found
 }
 
-fn unauthorised(seen: &Evidence) -> Vec<Violation> {
-    let records = seen.records.iter();
+fn unauthorised(evidence: &Evidence) -> Vec<Violation> {
+    let records = evidence.records.iter();
     let callers: BTreeMap<_, _> = records.map(|r| (r.request.as_str(), &r.caller)).collect();
-    let wrong = seen.runs.iter().filter(|run| {
-        let named = run.organisation.as_deref();
+    let unauthorised_runs = evidence.runs.iter().filter(|run| {
+        let reported = run.organisation.as_deref();
         match callers.get(run.request.as_str()) {
-            // The caller's record is missing where the load was cut off.
+            // The caller's record is missing if the load was interrupted.
             None => false,
-            Some(CallerKind::Anybody) => named.is_some(),
+            Some(CallerKind::Anybody) => reported.is_some(),
             Some(CallerKind::Nobody) => true,
-            Some(CallerKind::Organisation(own)) => named != Some(own.as_str()),
+            Some(CallerKind::Organisation(own)) => reported != Some(own.as_str()),
         }
     });
-    wrong
+    unauthorised_runs
         .map(|run| Violation::UnauthorisedRan {
             request: run.request.clone(),
             organisation: run.organisation.clone(),
@@ -37,10 +38,10 @@
         .collect()
 }
 
-fn over_quota(seen: &Evidence) -> Vec<Violation> {
+fn over_quota(evidence: &Evidence) -> Vec<Violation> {
     let mut found = Vec::new();
-    for (name, quota) in &seen.quotas {
-        let own = seen.runs.iter();
+    for (name, quota) in &evidence.quotas {
+        let own = evidence.runs.iter();
         let own = own.filter(|r| r.organisation.as_ref() == Some(name));
         let mut starts: Vec<u64> = own.map(|r| r.start).collect();
         starts.sort_unstable();
--- a/crates/chicoryrail-testkit/src/checker/violation.rs
+++ b/crates/chicoryrail-testkit/src/checker/violation.rs
@@ -1,9 +1,9 @@
-//! Broken promises.
+//! Violations of the guarantees.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Violation {
@@ -16,18 +16,18 @@
         /// Wall-clock time in microseconds.
         time: u64,
     },
-    /// A key went to another server under a fence that is not above the one before.
+    /// A key moved to another server under a fence that is not higher than the previous one.
     FenceBack {
         /// The key.
         key: u16,
         /// The two servers.
         servers: [String; 2],
-        /// The two fences.
+        /// The previous fence and the new one.
         fences: [u64; 2],
         /// Wall-clock time in microseconds.
         time: u64,
     },
-    /// A server ran a request for a key that no stored record had given it.
+    /// A server ran a request for a key that no record stored before had assigned to it.
     OwnerNotStored {
         /// The key.
         key: u16,
@@ -43,26 +43,26 @@
         /// The servers that ran it.
         servers: Vec<String>,
     },
-    /// A caller was told that an order is done, and it never ran.
+    /// An order was reported done to its caller, and never ran.
     OrderLost {
         /// Id of the request.
         request: String,
     },
-    /// A caller was told that a request was not run, and it ran.
+    /// A request was reported as not run to its caller, and ran.
     NotRunRan {
         /// Id of the request.
         request: String,
         /// The servers that ran it.
         servers: Vec<String>,
     },
-    /// A caller was given an answer that is not its own or not whole.
+    /// A caller got an incomplete response, or the response to another request.
     AnswerWrong {
         /// Id of the request.
         request: String,
-        /// What is wrong with it.
+        /// What is wrong with the response.
         reason: String,
     },
-    /// A caller was kept waiting past its deadline.
+    /// A caller got no response by its deadline and the time allowed after it.
     Hung {
         /// Id of the request.
         request: String,
@@ -72,70 +72,70 @@
         /// Id of the request.
         request: String,
     },
-    /// The fence of a key record went back, or the record was deleted.
+    /// The fence of a key record decreased, or the record was deleted or is unreadable.
     StoredBack {
-        /// Key of the record.
+        /// Store key of the record.
         key: String,
         /// Version of the write.
         version: u64,
     },
-    /// A configuration was replaced by one that is not higher.
+    /// A configuration was replaced by one whose version is not higher.
     ConfigBack {
-        /// Version before.
+        /// Previous version.
         before: u64,
-        /// Version written; 0 where it can't be read.
+        /// Version written; 0 if it is unreadable.
         after: u64,
     },
-    /// A server got work although it was out of service.
+    /// A server got a request while it was out of service.
     WorkWhileOut {
         /// The server.
         server: String,
         /// Id of the request.
         request: String,
-        /// Time since nothing more should have come, in milliseconds.
+        /// Time since the end of the time allowed for the withdrawal, in milliseconds.
         after_ms: u64,
     },
-    /// A request ran whose API key opens nothing, or in the name of another organisation than its key's.
+    /// A request ran although its API key is invalid, or for another organisation than that of its API key.
     UnauthorisedRan {
         /// Id of the request.
         request: String,
-        /// Organisation that the server was told.
+        /// Organisation that was reported to the server.
         organisation: Option<String>,
     },
-    /// A server was given a caller's API key.
+    /// A caller's API key reached a server.
     KeyLeaked {
         /// Id of the request.
         request: String,
     },
-    /// More requests of an organisation ran in a window than its limit allows.
+    /// More requests of an organisation ran in a window than its quota allows.
     OverQuota {
         /// The organisation.
         organisation: String,
-        /// Requests that ran in the fullest window.
+        /// Requests that ran in the window with the most.
         ran: u64,
-        /// Requests that it allows.
+        /// Requests that the quota allows in a window.
         allowed: u64,
     },
-    /// A server was given more than the rate that it named allows.
+    /// A server got more requests than its advertised limit allows.
     LimitOverrun {
         /// The server.
         server: String,
-        /// Time since it first named its limit, in milliseconds.
+        /// Time since the server first advertised its limit, in milliseconds.
         limited_ms: u64,
-        /// Requests that arrived in the window before.
+        /// Requests that arrived in the preceding window.
         arrived: u32,
         /// Requests that may arrive in a window.
         allowed: u32,
     },
-    /// A cold server was given more than it can bear.
+    /// A server that was warming up got more requests than it can handle.
     ColdOverrun {
         /// The server.
         server: String,
-        /// Time since it turned cold, in milliseconds.
+        /// Time since the warm-up began, in milliseconds.
         cold_ms: u64,
-        /// Requests that arrived in the second before.
+        /// Requests that arrived in the preceding second.
         arrived: u32,
-        /// Requests that it bears in a second.
+        /// Requests that the server can handle in a second.
         bears: u32,
     },
 }
--- a/crates/chicoryrail-testkit/src/load.rs
+++ b/crates/chicoryrail-testkit/src/load.rs
@@ -1,4 +1,4 @@
-//! The load generator: callers that check what they are given.
+//! The load generator: callers that send requests and check the responses.
 
 mod balancer;
 mod call;
--- a/crates/chicoryrail-testkit/src/load/balancer.rs
+++ b/crates/chicoryrail-testkit/src/load/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer before the hosts.
+//! The platform's load balancer in front of the hosts.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,30 +13,30 @@
 
 use crate::LoadHost;
 
-/// Wait between two health checks of a host.
-const CHECK: Millis = Millis(200);
+/// Interval between two health checks of a host.
+const CHECK_INTERVAL: Millis = Millis(200);
 
-/// Longest time a health check may take.
-const CHECK_LIMIT: Millis = Millis(200);
+/// Timeout of a health check.
+const CHECK_TIMEOUT: Millis = Millis(200);
 
-/// Chooses hosts whose last health check passed.
+/// Balances requests over the hosts whose last health check passed.
 ///
-/// A host without an address to check counts as healthy.
+/// A host without a readiness address always counts as healthy.
 #[derive(Clone, Debug)]
 pub(crate) struct Balancer {
-    hosts: Rc<Vec<Checked>>,
+    hosts: Rc<Vec<CheckedHost>>,
 }
 
 #[derive(Debug)]
-struct Checked {
+struct CheckedHost {
     callers: SocketAddr,
     healthy: Cell<bool>,
 }
 
 impl Balancer {
-    /// Starts the checks; they end with the runtime.
+    /// Starts the health checks; they end with the runtime.
     pub(crate) fn start(hosts: &[LoadHost]) -> Self {
-        let checked = hosts.iter().map(|h| Checked {
+        let checked = hosts.iter().map(|h| CheckedHost {
             callers: h.callers,
             healthy: Cell::new(true),
         });
@@ -51,14 +51,15 @@
         this
     }
 
-    /// Returns the hosts in the order in which a request tries them: healthy ones first.
-    pub(crate) fn order(&self, rng: &mut Pcg64Mcg) -> Vec<SocketAddr> {
+    /// Returns all hosts in the order in which a request tries them: healthy hosts first, each group from a random
+    /// start.
+    pub(crate) fn host_order(&self, rng: &mut Pcg64Mcg) -> Vec<SocketAddr> {
         let n = self.hosts.len();
         let start = rng.random_range(0..n.max(1));
-        let turned = || (0..n).map(move |i| &self.hosts[(start + i) % n]);
-        let healthy = turned().filter(|h| h.healthy.get());
-        let rest = turned().filter(|g| !g.healthy.get());
-        healthy.chain(rest).map(|h| h.callers).collect()
+        let rotated = || (0..n).map(move |i| &self.hosts[(start + i) % n]);
+        let healthy = rotated().filter(|h| h.healthy.get());
+        let unhealthy = rotated().filter(|h| !h.healthy.get());
+        healthy.chain(unhealthy).map(|h| h.callers).collect()
     }
 
     async fn check(self, i: usize, addr: SocketAddr) {
@@ -67,10 +68,10 @@
             let request = Request::get("/-/readyz")
                 .body(Bytes::new())
                 .expect("a constant request is valid");
-            let answer = client.call(addr, request, CHECK_LIMIT).await;
-            let healthy = answer.is_ok_and(|a| a.status() == 200);
+            let response = client.call(addr, request, CHECK_TIMEOUT).await;
+            let healthy = response.is_ok_and(|r| r.status() == 200);
             self.hosts[i].healthy.set(healthy);
-            monoio::time::sleep(CHECK.duration()).await;
+            monoio::time::sleep(CHECK_INTERVAL.duration()).await;
         }
     }
 }
--- a/crates/chicoryrail-testkit/src/load/call.rs
+++ b/crates/chicoryrail-testkit/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller and what became of it.
+//! One request of a caller and its outcome.
 
 use std::net::SocketAddr;
 
@@ -18,54 +18,54 @@
 
 use crate::AnswerHead;
 use crate::LoadKind;
-use crate::load::mix::Ask;
+use crate::load::mix::PlannedRequest;
 use crate::load::pool::Pool;
 use crate::wall_micros;
 
-/// Time past its deadline after which a request counts as hanging.
-const HANG: Millis = Millis(1_000);
+/// Time after its deadline at which a request counts as hung.
+const HANG_GRACE: Millis = Millis(1_000);
 
-/// Largest answer taken, in bytes.
-const ANSWER_MOST: usize = 256 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 256 << 20;
 
-/// What the caller knows of its request.
+/// Outcome of a request as its caller knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It was answered.
+    /// It succeeded.
     Done,
-    /// It was not run.
+    /// It did not run.
     NotRun,
-    /// It may have run.
+    /// Indeterminate: it may have run.
     Unknown,
 }
 
-/// A request as its caller saw it.
+/// A request as recorded by its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
     /// Id of the request.
     pub request: String,
-    /// What it was.
+    /// Kind of the request.
     pub kind: LoadKind,
     /// Path without the query.
     pub path: String,
-    /// Host that was asked last.
+    /// Host that was tried last.
     pub host: SocketAddr,
-    /// Wall-clock time in microseconds at which the request was to start.
+    /// Wall-clock time in microseconds at which the request was due to start.
     pub intended: u64,
     /// Wall-clock time of its end in microseconds.
     pub ended: u64,
-    /// What the caller knows.
+    /// Outcome.
     pub outcome: Outcome,
-    /// HTTP status; 0 where no answer came.
+    /// HTTP status; 0 if there was no response.
     pub status: u16,
-    /// Server that answered, where it is known.
+    /// Server that sent the response, if known.
     pub server: Option<String>,
-    /// Why an answer that seemed right is not this request's own, or not whole.
+    /// Why a successful response does not belong to this request, or is incomplete; `None` if it is right.
     pub wrong: Option<String>,
-    /// Whether the caller gave up waiting past the deadline.
+    /// Whether the caller abandoned the request because it had no response well after its deadline.
     pub hung: bool,
-    /// Whether it carried an API key, and if so the organisation that holds it.
+    /// API key that the request carried, by its owner.
     #[serde(default)]
     pub caller: CallerKind,
 }
@@ -74,27 +74,27 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallerKind {
-    /// It needed none.
+    /// The request carried no API key and needed none.
     #[default]
     Anybody,
-    /// Nobody's: it must not run.
+    /// An API key of no organisation: the request must not run.
     Nobody,
-    /// That of the organisation.
+    /// An API key of the organisation with this name.
     Organisation(String),
 }
 
-/// Sends a request, to the next host where a connection is refused, and judges the answer.
+/// Sends a request and records its outcome; tries the next host if a connection is refused.
 pub(crate) async fn call(
     pool: &Pool,
     hosts: &[SocketAddr],
-    ask: &Ask,
+    planned: &PlannedRequest,
     intended: u64,
     deadline: Millis,
 ) -> CallRecord {
     let mut record = CallRecord {
-        request: ask.request.clone(),
-        kind: ask.kind,
-        path: ask.path.clone(),
+        request: planned.id.clone(),
+        kind: planned.kind,
+        path: planned.path.clone(),
         host: hosts[0],
         intended,
         ended: 0,
@@ -103,7 +103,7 @@
         server: None,
         wrong: None,
         hung: false,
-        caller: match &ask.caller {
+        caller: match &planned.caller {
             None => CallerKind::Anybody,
             Some(caller) => match &caller.organisation {
                 None => CallerKind::Nobody,
@@ -111,9 +111,9 @@
             },
         },
     };
-    let limit = (deadline + HANG).duration();
-    let attempt = exchange(pool, hosts, ask, deadline, &mut record);
-    if timeout(limit, attempt).await.is_err() {
+    let limit = (deadline + HANG_GRACE).duration();
+    let sent = send(pool, hosts, planned, deadline, &mut record);
+    if timeout(limit, sent).await.is_err() {
         record.outcome = Outcome::Unknown;
         record.hung = true;
     }
@@ -121,25 +121,25 @@
     record
 }
 
-async fn exchange(
+async fn send(
     pool: &Pool,
     hosts: &[SocketAddr],
-    ask: &Ask,
+    planned: &PlannedRequest,
     deadline: Millis,
     record: &mut CallRecord,
 ) {
     for host in hosts {
         record.host = *host;
-        let Ok(mut sender) = pool.take(*host).await else {
+        let Ok(mut sender) = pool.acquire(*host).await else {
             continue;
         };
-        match sender.send_request(request(ask, deadline)).await {
-            Ok(answer) => {
-                judge(ask, answer, record).await;
-                pool.give(*host, sender);
+        match sender.send_request(build_request(planned, deadline)).await {
+            Ok(response) => {
+                record_response(planned, response, record).await;
+                pool.release(*host, sender);
                 return;
             }
-            // The connection had ended before a byte was written.
+            // The connection ended before a byte was written, so another host may be tried.
             Err(e) if e.is_canceled() => {}
             Err(_) => {
                 record.outcome = Outcome::Unknown;
@@ -149,73 +149,85 @@
     }
 }
 
-fn request(ask: &Ask, deadline: Millis) -> Request<Full<Bytes>> {
-    let method = match ask.kind {
+fn build_request(planned: &PlannedRequest, deadline: Millis) -> Request<Full<Bytes>> {
+    let method = match planned.kind {
         LoadKind::Order => Method::POST,
         LoadKind::Lookup | LoadKind::Report => Method::GET,
     };
     let mut builder = Request::builder()
         .method(method)
-        .uri(format!("{}?body={}", ask.path, ask.length))
-        .header(http::header::HOST, &ask.host)
-        .header(call_header::REQUEST_ID, &ask.request)
+        .uri(format!("{}?body={}", planned.path, planned.response_bytes))
+        .header(http::header::HOST, &planned.host)
+        .header(call_header::REQUEST_ID, &planned.id)
         .header(call_header::TIME_LEFT, deadline.0);
-    if let Some(caller) = &ask.caller {
+    if let Some(caller) = &planned.caller {
         builder = builder.header(call_header::API_KEY, caller.key.expose());
     }
-    if let Some(key) = ask.key {
+    if let Some(key) = planned.key {
         builder = builder.header(call_header::KEY, key);
     }
     builder
-        .body(Full::new(Bytes::from(ask.body.clone())))
+        .body(Full::new(Bytes::from(planned.body.clone())))
         .expect("ids and paths of the load are valid in HTTP")
 }
 
-async fn judge(ask: &Ask, answer: Response<Incoming>, record: &mut CallRecord) {
-    let (head, body) = answer.into_parts();
+async fn record_response(
+    planned: &PlannedRequest,
+    response: Response<Incoming>,
+    record: &mut CallRecord,
+) {
+    let (head, body) = response.into_parts();
     let text = |name: &http::HeaderName| call_header::text(&head.headers, name);
-    let marked = text(&call_header::STAMP).is_some();
+    let stamped = text(&call_header::STAMP).is_some();
     record.status = head.status.as_u16();
     record.server = text(&call_header::SERVER).map(str::to_owned);
-    let Ok(body) = collect(body, ANSWER_MOST).await else {
+    let Ok(body) = collect(body, MAX_RESPONSE_BYTES).await else {
         record.outcome = Outcome::Unknown;
         return;
     };
     if head.status.is_success() {
         record.outcome = Outcome::Done;
-        record.wrong = mismatch(ask, marked, text(&call_header::REQUEST_ID), &body);
+        record.wrong = mismatch(planned, stamped, text(&call_header::REQUEST_ID), &body);
         return;
     }
-    record.outcome = if says_not_run(head.status) && !marked {
+    record.outcome = if means_not_run(head.status) && !stamped {
         Outcome::NotRun
     } else {
         Outcome::Unknown
     };
 }
 
-/// Tells whether a status promises that the request did not run.
-const fn says_not_run(status: StatusCode) -> bool {
+/// Returns whether a status guarantees that the request did not run, if no server stamped the response.
+const fn means_not_run(status: StatusCode) -> bool {
     matches!(
         status.as_u16(),
         400 | 401 | 404 | 408 | 413 | 421 | 429 | 431 | 503
     )
 }
 
-/// Tells in what an answer differs from the request's own.
-fn mismatch(ask: &Ask, marked: bool, echoed: Option<&str>, body: &[u8]) -> Option<String> {
-    if !marked {
-        return Some("no server has marked the answer".to_owned());
+/// Returns how a successful response differs from the expected one; `None` if it matches.
+fn mismatch(
+    planned: &PlannedRequest,
+    stamped: bool,
+    echoed_id: Option<&str>,
+    body: &[u8],
+) -> Option<String> {
+    if !stamped {
+        return Some("the response carries no stamp of a server".to_owned());
     }
     let Some(head) = AnswerHead::check(body) else {
-        return Some(format!("body of {} bytes is not whole", body.len()));
+        return Some(format!("body of {} bytes is incomplete", body.len()));
     };
-    if head.request != ask.request || head.path != ask.path {
-        return Some(format!("answer of request {}", head.request));
+    if head.request != planned.id || head.path != planned.path {
+        return Some(format!("response to request {}", head.request));
     }
-    if head.length != ask.length {
-        return Some(format!("{} bytes asked, {} told", ask.length, head.length));
+    if head.length != planned.response_bytes {
+        return Some(format!(
+            "{} bytes requested, {} reported",
+            planned.response_bytes, head.length
+        ));
     }
-    echoed
-        .filter(|id| *id != ask.request)
-        .map(|id| format!("header names request {id}"))
+    echoed_id
+        .filter(|id| *id != planned.id)
+        .map(|id| format!("header has the id of request {id}"))
 }
--- a/crates/chicoryrail-testkit/src/load/host.rs
+++ b/crates/chicoryrail-testkit/src/load/host.rs
@@ -1,12 +1,12 @@
-//! Where callers and the balancer find a host.
+//! Addresses of a host for callers and for the load balancer.
 
 use std::net::SocketAddr;
 
-/// An entry host as callers know it.
+/// An entry host that load is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadHost {
     /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Address where the balancer asks whether the host takes callers; `None` to use it always.
+    /// Address of the readiness check for the load balancer; `None` if the host always counts as healthy.
     pub readiness: Option<SocketAddr>,
 }
--- a/crates/chicoryrail-testkit/src/load/mix.rs
+++ b/crates/chicoryrail-testkit/src/load/mix.rs
@@ -1,4 +1,4 @@
-//! What callers ask for.
+//! The requests that callers send.
 
 use chicoryrail_core::ApiKey;
 use rand::Rng;
@@ -7,55 +7,55 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Bytes of an order's body.
-const ORDER_BODY: usize = 200;
+/// Bytes of the note in an order's body.
+const ORDER_NOTE_BYTES: usize = 200;
 
-/// What a request is.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LoadKind {
-    /// `GET` that somebody waits for.
+    /// `GET` whose caller waits for the response.
     Lookup,
     /// `POST` that must run at most once.
     Order,
-    /// `GET` of a report that may lag.
+    /// `GET` of a report that may be slow; the latency percentiles leave it out.
     Report,
 }
 
 /// Load on one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadService {
-    /// Host that callers name.
+    /// Value of the `Host` header.
     pub host: String,
     /// Path prefix of the service.
     pub path: String,
-    /// What its requests are.
+    /// Kind of the requests.
     pub kind: LoadKind,
-    /// Share of all requests, relative to the other services.
+    /// Weight of the service: its fraction of all requests relative to the other services.
     pub weight: f64,
-    /// Whether requests carry a key that picks the server.
+    /// Whether requests carry a key that determines the server.
     pub keyed: bool,
     /// Number of keys.
     pub keys: u32,
     /// Exponent of the Zipf distribution of keys; 0 for uniform.
     pub skew: f64,
-    /// Bytes of an answer's body after its first line.
+    /// Bytes of a response body after its first line.
     pub body: u64,
-    /// API keys of which each request carries one, drawn evenly; none where requests need no key.
+    /// API keys of which each request carries one, chosen uniformly at random; empty if requests need none.
     pub callers: Vec<LoadCaller>,
 }
 
-/// An API key, and whether it is to open anything.
+/// An API key and the organisation that it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadCaller {
-    /// The key.
+    /// The API key.
     pub key: ApiKey,
-    /// Organisation that holds it; `None` for a key that opens nothing.
+    /// Organisation of the key; `None` for an invalid key.
     pub organisation: Option<String>,
 }
 
 impl LoadService {
-    /// Returns uniform load of weight 1 on a thousand keys.
+    /// Returns load of weight 1, uniform over 1,000 keys.
     #[must_use]
     pub fn new(host: &str, path: &str, kind: LoadKind) -> Self {
         Self {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Sets the share of all requests.
+    /// Sets the weight of the service.
     #[must_use]
     pub fn with_weight(mut self, weight: f64) -> Self {
         self.weight = weight;
@@ -86,7 +86,7 @@
         self
     }
 
-    /// Sets the bytes of an answer's body.
+    /// Sets the bytes of a response body after its first line.
     #[must_use]
     pub fn with_body(mut self, bytes: u64) -> Self {
         self.body = bytes;
@@ -94,90 +94,96 @@
     }
 }
 
-/// A request to send.
+/// A request to send and the response to expect.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Ask {
+pub(crate) struct PlannedRequest {
     pub(crate) kind: LoadKind,
     pub(crate) host: String,
     pub(crate) path: String,
     pub(crate) key: Option<u16>,
-    pub(crate) request: String,
-    pub(crate) length: u64,
+    pub(crate) id: String,
+    /// Bytes of the response body after its first line.
+    pub(crate) response_bytes: u64,
     pub(crate) body: String,
     pub(crate) caller: Option<LoadCaller>,
 }
 
-/// Draws requests from a seed.
+/// Generates the requests of a run at random.
 #[derive(Debug)]
 pub(crate) struct Mix {
     services: Vec<LoadService>,
-    /// Running sums of the weights of keys, per service; empty for uniform.
-    keys: Vec<Vec<f64>>,
+    /// Cumulative Zipf weights of the keys, per service; empty for a uniform distribution.
+    key_weights: Vec<Vec<f64>>,
     prefix: String,
     count: u64,
 }
 
 impl Mix {
-    /// Builds the mix; `prefix` makes its ids unique over runs.
+    /// Creates a generator; `prefix` makes the request ids unique across runs.
     pub(crate) fn new(services: &[LoadService], prefix: &str) -> Self {
         Self {
             services: services.to_vec(),
-            keys: services.iter().map(sums).collect(),
+            key_weights: services.iter().map(cumulative_weights).collect(),
             prefix: prefix.to_owned(),
             count: 0,
         }
     }
 
-    /// Draws the next request.
-    pub(crate) fn next(&mut self, rng: &mut Pcg64Mcg) -> Ask {
+    /// Returns the next request.
+    pub(crate) fn next(&mut self, rng: &mut Pcg64Mcg) -> PlannedRequest {
         self.count += 1;
-        let request = format!("{}-{}", self.prefix, self.count);
-        let at = self.service(rng);
-        let number = self.key(at, rng);
-        let service = &self.services[at];
-        let order = service.kind == LoadKind::Order;
-        Ask {
+        let id = format!("{}-{}", self.prefix, self.count);
+        let index = self.pick_service(rng);
+        let number = self.pick_key(index, rng);
+        let service = &self.services[index];
+        let is_order = service.kind == LoadKind::Order;
+        PlannedRequest {
             kind: service.kind,
             host: service.host.clone(),
             path: format!("{}key-{number:05}", service.path),
-            key: service.keyed.then(|| spread(number)),
-            body: if order { body(&request) } else { String::new() },
-            request,
-            length: service.body,
+            key: service.keyed.then(|| spread_key(number)),
+            body: if is_order {
+                order_body(&id)
+            } else {
+                String::new()
+            },
+            id,
+            response_bytes: service.body,
             caller: service.callers.choose(rng).cloned(),
         }
     }
 
-    fn service(&self, rng: &mut Pcg64Mcg) -> usize {
-        let all: f64 = self.services.iter().map(|s| s.weight).sum();
-        let mut left = rng.random_range(0.0..all.max(f64::MIN_POSITIVE));
+    fn pick_service(&self, rng: &mut Pcg64Mcg) -> usize {
+        let total: f64 = self.services.iter().map(|s| s.weight).sum();
+        let mut remaining = rng.random_range(0.0..total.max(f64::MIN_POSITIVE));
         for (i, service) in self.services.iter().enumerate() {
-            left -= service.weight;
-            if left < 0.0 {
+            remaining -= service.weight;
+            if remaining < 0.0 {
                 return i;
             }
         }
         self.services.len() - 1
     }
 
-    fn key(&self, at: usize, rng: &mut Pcg64Mcg) -> u32 {
-        let sums = &self.keys[at];
-        match sums.last() {
-            Some(all) => {
-                let drawn = rng.random_range(0.0..*all);
-                sums.partition_point(|s| *s <= drawn) as u32
+    fn pick_key(&self, service: usize, rng: &mut Pcg64Mcg) -> u32 {
+        let weights = &self.key_weights[service];
+        match weights.last() {
+            Some(total) => {
+                let sample = rng.random_range(0.0..*total);
+                weights.partition_point(|w| *w <= sample) as u32
             }
-            None => rng.random_range(0..self.services[at].keys.max(1)),
+            None => rng.random_range(0..self.services[service].keys.max(1)),
         }
     }
 }
 
-/// Spreads numbered keys over all keys there are: by the golden ratio, so that neighbours lie far apart.
-const fn spread(number: u32) -> u16 {
+/// Spreads key numbers over the whole key space by multiplicative hashing with the golden ratio, so that
+/// successive numbers lie far apart.
+const fn spread_key(number: u32) -> u16 {
     (number.wrapping_mul(40_503) & 0xffff) as u16
 }
 
-fn sums(service: &LoadService) -> Vec<f64> {
+fn cumulative_weights(service: &LoadService) -> Vec<f64> {
     if service.skew <= 0.0 {
         return Vec::new();
     }
@@ -190,9 +196,9 @@
         .collect()
 }
 
-fn body(request: &str) -> String {
+fn order_body(id: &str) -> String {
     format!(
-        "{{\"order\":\"{request}\",\"note\":\"{}\"}}",
-        "x".repeat(ORDER_BODY)
+        "{{\"order\":\"{id}\",\"note\":\"{}\"}}",
+        "x".repeat(ORDER_NOTE_BYTES)
     )
 }
--- a/crates/chicoryrail-testkit/src/load/pool.rs
+++ b/crates/chicoryrail-testkit/src/load/pool.rs
@@ -1,4 +1,4 @@
-//! Keep-alive connections of callers.
+//! Pool of keep-alive connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,18 +15,22 @@
 
 pub(crate) type Sender = SendRequest<Full<Bytes>>;
 
-/// Idle connections by host; clones share them.
+/// Idle connections by host. Clones share the connections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pool {
     idle: Rc<RefCell<HashMap<SocketAddr, Vec<Sender>>>>,
 }
 
 impl Pool {
-    /// Takes an idle connection or opens one.
-    pub(crate) async fn take(&self, addr: SocketAddr) -> io::Result<Sender> {
+    /// Returns an idle connection to the host, or opens a new one.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a new connection cannot be opened.
+    pub(crate) async fn acquire(&self, addr: SocketAddr) -> io::Result<Sender> {
         loop {
-            let kept = self.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
-            match kept {
+            let idle = self.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
+            match idle {
                 Some(sender) if sender.is_ready() => return Ok(sender),
                 Some(_) => {}
                 None => return open(addr).await,
@@ -34,8 +38,8 @@
         }
     }
 
-    /// Gives a connection back, for reuse where it can be.
-    pub(crate) fn give(&self, addr: SocketAddr, sender: Sender) {
+    /// Returns a connection to the pool; drops it if it cannot be reused.
+    pub(crate) fn release(&self, addr: SocketAddr, sender: Sender) {
         if sender.is_ready() {
             let mut idle = self.idle.borrow_mut();
             idle.entry(addr).or_default().push(sender);
--- a/crates/chicoryrail-testkit/src/load/run.rs
+++ b/crates/chicoryrail-testkit/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Open-loop and closed-loop runs.
+//! Open-loop and closed-loop runs of load.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -24,26 +24,26 @@
 use crate::load::pool::Pool;
 use crate::wall_micros;
 
-/// Requests in flight at a time in an open loop; the next ones wait, and their latency counts from
-/// their intended start all the same.
-const IN_FLIGHT_MOST: u32 = 2_000;
+/// Maximum number of requests in flight in an open loop. Further requests wait; their latency still counts from
+/// their intended start.
+const MAX_IN_FLIGHT: u32 = 2_000;
 
-/// Settings of a run of load.
+/// Options of a run of load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadOptions {
-    /// Hosts that requests are spread over.
+    /// Hosts over which requests are balanced.
     pub hosts: Vec<LoadHost>,
-    /// Services that requests go to.
+    /// Services that requests are sent to.
     pub services: Vec<LoadService>,
-    /// Length of the run.
+    /// Duration of the run.
     pub length: Millis,
-    /// Requests a second in an open loop; `None` for a closed loop.
+    /// Requests per second in an open loop; `None` for a closed loop.
     pub rate: Option<f64>,
-    /// Callers in a closed loop.
+    /// Number of concurrent callers in a closed loop.
     pub callers: u32,
     /// Deadline of each request.
     pub deadline: Millis,
-    /// Seed of all draws.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
@@ -61,24 +61,24 @@
     }
 }
 
-/// Counts of a run that another thread may read while it goes on.
+/// Counters of a run in progress, which other threads may read.
 #[derive(Debug, Default)]
 pub struct Progress {
     /// Requests that ended.
     pub ended: AtomicU64,
-    /// Requests answered.
+    /// Requests that succeeded.
     pub done: AtomicU64,
     /// Requests refused before they ran.
     pub not_run: AtomicU64,
-    /// Requests that may have run.
+    /// Requests with an indeterminate outcome: they may have run.
     pub unknown: AtomicU64,
-    /// Answers that were not the request's own or not whole.
+    /// Responses that were incomplete or belonged to another request.
     pub wrong: AtomicU64,
-    /// Set by another thread to end the run early.
+    /// Flag that another thread sets to end the run early.
     pub stop: AtomicBool,
 }
 
-/// A run of load; it is driven by [`chicoryrail_runtime::block_on`].
+/// A run of load, executed by [`chicoryrail_runtime::block_on`].
 #[derive(Debug)]
 pub struct Load {
     options: LoadOptions,
@@ -94,11 +94,11 @@
     rng: RefCell<Pcg64Mcg>,
     records: RefCell<Vec<CallRecord>>,
     in_flight: Cell<u32>,
-    ends: u64,
+    end_us: u64,
 }
 
 impl Load {
-    /// Builds a run.
+    /// Creates a run with the given options.
     #[must_use]
     pub fn new(options: LoadOptions) -> Self {
         Self {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Returns the counts, for another thread.
+    /// Returns the counters of the run, to be read by another thread.
     #[must_use]
     pub fn progress(&self) -> Arc<Progress> {
         Arc::clone(&self.progress)
@@ -117,7 +117,7 @@
     ///
     /// # Panics
     ///
-    /// Panics where the options name no host or no service.
+    /// Panics if the options have no host or no service.
     pub async fn run(self) -> Vec<CallRecord> {
         assert!(!self.options.hosts.is_empty(), "the load needs a host");
         assert!(
@@ -136,7 +136,7 @@
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             records: RefCell::default(),
             in_flight: Cell::new(0),
-            ends: start + self.options.length.0 * 1000,
+            end_us: start + self.options.length.0 * 1000,
             options: self.options,
         });
         match shared.options.rate {
@@ -150,27 +150,27 @@
 async fn open_loop(shared: &Rc<Shared>, rate: f64, start: u64) {
     let mut next = start as f64;
     loop {
-        let drawn: f64 = shared.rng.borrow_mut().random_range(f64::MIN_POSITIVE..1.0);
-        next += -drawn.ln() / rate * 1e6;
+        let sample: f64 = shared.rng.borrow_mut().random_range(f64::MIN_POSITIVE..1.0);
+        next += -sample.ln() / rate * 1e6;
         let intended = next as u64;
-        if intended >= shared.ends || shared.progress.stop.load(Relaxed) {
+        if intended >= shared.end_us || shared.progress.stop.load(Relaxed) {
             break;
         }
         let wait = intended.saturating_sub(wall_micros());
         if wait > 0 {
             monoio::time::sleep(Duration::from_micros(wait)).await;
         }
-        while shared.in_flight.get() >= IN_FLIGHT_MOST {
+        while shared.in_flight.get() >= MAX_IN_FLIGHT {
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
         shared.in_flight.set(shared.in_flight.get() + 1);
         let shared = Rc::clone(shared);
         monoio::spawn(async move {
-            one(&shared, intended).await;
+            send_one(&shared, intended).await;
             shared.in_flight.set(shared.in_flight.get() - 1);
         });
     }
-    // Every request ends by its deadline, so the wait is bounded.
+    // Every request ends at the latest a fixed time after its deadline, so the wait is bounded.
     while shared.in_flight.get() > 0 {
         monoio::time::sleep(Duration::from_millis(2)).await;
     }
@@ -180,8 +180,8 @@
     let callers = (0..shared.options.callers).map(|_| {
         let shared = Rc::clone(shared);
         monoio::spawn(async move {
-            while wall_micros() < shared.ends && !shared.progress.stop.load(Relaxed) {
-                one(&shared, wall_micros()).await;
+            while wall_micros() < shared.end_us && !shared.progress.stop.load(Relaxed) {
+                send_one(&shared, wall_micros()).await;
             }
         })
     });
@@ -190,16 +190,16 @@
     }
 }
 
-async fn one(shared: &Shared, intended: u64) {
-    let (ask, hosts) = {
+async fn send_one(shared: &Shared, intended: u64) {
+    let (request, hosts) = {
         let mut rng = shared.rng.borrow_mut();
-        let ask = shared.mix.borrow_mut().next(&mut rng);
-        (ask, shared.balancer.order(&mut rng))
+        let request = shared.mix.borrow_mut().next(&mut rng);
+        (request, shared.balancer.host_order(&mut rng))
     };
     let record = call(
         &shared.pool,
         &hosts,
-        &ask,
+        &request,
         intended,
         shared.options.deadline,
     )
@@ -216,14 +216,14 @@
     }
     progress.ended.fetch_add(1, Relaxed);
     shared.records.borrow_mut().push(record);
-    // A refusal that comes at once would make a closed loop spin.
-    if shared.options.rate.is_none() && shared.gave_up() {
+    // Without a pause, immediate refusals would make a closed loop spin.
+    if shared.options.rate.is_none() && shared.last_failed() {
         monoio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
 impl Shared {
-    fn gave_up(&self) -> bool {
+    fn last_failed(&self) -> bool {
         let records = self.records.borrow();
         records.last().is_some_and(|r| r.outcome != Outcome::Done)
     }
--- a/crates/chicoryrail-testkit/tests/chaos.rs
+++ b/crates/chicoryrail-testkit/tests/chaos.rs
@@ -1,4 +1,4 @@
-//! Short runs of real processes under faults, with fixed seeds.
+//! Short chaos runs of real processes with fixed seeds.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -10,29 +10,29 @@
 use chicoryrail_testkit::run_chaos;
 use rstest::rstest;
 
-/// Each run has some 40 processes; one after the other they fit a small machine.
-static ONE: Mutex<()> = Mutex::new(());
+/// Serialises the runs: each starts some 40 processes, and several runs at once overload a small machine.
+static SERIAL: Mutex<()> = Mutex::new(());
 
-/// Returns the folder of the programs: the one above the tests'. A test of the whole workspace builds
-/// them all.
+/// Returns the directory of the programs, the parent of the test's directory. A test run of the whole workspace
+/// builds all programs.
 fn programs() -> PathBuf {
     let test = std::env::current_exe().unwrap();
     test.ancestors().nth(2).unwrap().to_owned()
 }
 
-/// Whatever breaks, no promise does: one owner at a time, orders at most once, "not run" true, whole
-/// and own answers, nothing hangs, no process ends by itself.
+/// Guards against violations of the guarantees while faults are injected: two owners of a key at a time, an order
+/// run twice, a false "not run", an incomplete or foreign response, a hung request, or a crashed process.
 #[rstest]
 #[case::updraft(Deployment::Updraft, 5)]
 #[case::updraft_again(Deployment::Updraft, 2)]
 #[case::tanduay(Deployment::Tanduay, 1)]
-fn every_promise_is_kept(#[case] deployment: Deployment, #[case] seed: u64) {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn guarantees_hold_under_faults(#[case] deployment: Deployment, #[case] seed: u64) {
+    let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
     let mut options = ChaosOptions::new(deployment, seed).with_length(Millis(8_000));
     options.bin = Some(programs());
     options.rate = 100.0;
     let summary = run_chaos(&options).unwrap();
-    let broken = (summary.found, summary.crashed);
-    assert_eq!(broken, (Vec::new(), Vec::new()), "{:?}", summary.kept);
+    let failures = (summary.found, summary.crashed);
+    assert_eq!(failures, (Vec::new(), Vec::new()), "{:?}", summary.kept);
     assert!(summary.ok > 0 && !summary.faults.is_empty());
 }
--- a/crates/chicoryrail-testkit/tests/load.rs
+++ b/crates/chicoryrail-testkit/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load generator against a target in place of a host.
+//! Tests of the load generator, with targets in place of entry hosts.
 
 use std::net::SocketAddr;
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Runs load against one target under a fault.
+/// Runs load against one target that has a fault, and returns the records.
 async fn run_under(fault: &TargetFault) -> Vec<CallRecord> {
     let addr = target(TargetOptions::new("kits-01")).await;
     let body = Bytes::from(serde_json::to_vec(fault).unwrap());
@@ -64,36 +64,42 @@
 }
 
 #[test]
-fn whole_and_own_answers_are_done_and_right() {
+fn complete_and_own_responses_are_done_and_right() {
     block_on(async {
         let addr = target(TargetOptions::new("kits-01")).await;
         let records = Load::new(options(&[addr])).run().await;
-        let sum = LoadSummary::of(&records);
-        assert!(sum.requests > 0 && sum.orders_sent > 0, "{sum:?}");
-        assert_eq!((sum.ok, sum.wrong, sum.hung), (sum.requests, 0, 0));
+        let summary = LoadSummary::of(&records);
+        assert!(
+            summary.requests > 0 && summary.orders_sent > 0,
+            "{summary:?}"
+        );
+        assert_eq!(
+            (summary.ok, summary.wrong, summary.hung),
+            (summary.requests, 0, 0)
+        );
         let lookups = lookups(&records).count() as u64;
-        assert_eq!(sum.orders_sent + lookups, sum.requests);
+        assert_eq!(summary.orders_sent + lookups, summary.requests);
     });
 }
 
-/// A caller is given the answer of another request, whole and with status 200. It must be told
-/// apart by the request that it names.
+/// A caller gets the response to another request, complete and with status 200. The request that it names shows
+/// that it is wrong.
 #[test]
-fn the_answer_of_another_request_is_wrong() {
+fn response_to_another_request_is_wrong() {
     block_on(async {
         let crossed = TargetFault::Crossed {
             for_ms: 60_000,
             share: 1.0,
         };
         let records = run_under(&crossed).await;
-        // The first answer of all has none before it to be crossed with.
+        // The first response has no earlier one to be exchanged with.
         let right = lookups(&records).filter(|r| r.wrong.is_none()).count();
         assert!(right <= 1, "{right} of {}", records.len());
     });
 }
 
 #[test]
-fn a_cut_answer_leaves_the_outcome_unknown_and_is_not_taken_for_whole() {
+fn cut_response_has_indeterminate_outcome_and_is_not_wrong() {
     block_on(async {
         let cut = TargetFault::Cut {
             for_ms: 60_000,
@@ -110,21 +116,21 @@
     });
 }
 
-/// One of two hosts is gone: its port is closed, so nothing was sent to it, and the caller turns to
-/// the other one. A server that sheds says that the request was not run.
+/// The port of one of two hosts is closed, so nothing is sent to it and the caller tries the other host. A server
+/// that sheds load responds with 503, which means that the request did not run.
 #[test]
-fn a_closed_host_is_passed_over_and_a_shed_request_was_not_run() {
+fn closed_host_is_skipped_and_shed_request_did_not_run() {
     block_on(async {
-        let gone = Listener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        let closed = gone.addr().unwrap();
-        drop(gone);
-        let full = TargetOptions {
+        let listener = Listener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
+        let closed = listener.addr().unwrap();
+        drop(listener);
+        let small_target = TargetOptions {
             slots: 1,
             queue: 0,
             service_us: 20_000,
             ..TargetOptions::new("kits-01")
         };
-        let addr = target(full).await;
+        let addr = target(small_target).await;
         let records = Load::new(options(&[closed, addr])).run().await;
         assert!(records.iter().all(|r| r.host == addr));
         let shed = |r: &&CallRecord| r.status == 503;
@@ -138,9 +144,9 @@
     });
 }
 
-/// An answer that no server has marked was made by somebody else, whatever its body says.
+/// A response without the stamp of a server does not come from a server, even if its body matches.
 #[test]
-fn an_answer_without_a_mark_is_wrong() {
+fn response_without_stamp_is_wrong() {
     block_on(async {
         let records = run_under(&TargetFault::Unmarked { for_ms: 60_000 }).await;
         assert!(!records.is_empty());
@@ -148,24 +154,24 @@
     });
 }
 
-/// Latency counts from the time at which a request was to start: with one slot of 20 ms and 200
-/// requests a second the later ones wait for the earlier ones, and that wait must show.
+/// Latency counts from the intended start of a request. With one slot, a service time of 20 ms and 200 requests
+/// per second, later requests wait for earlier ones, and the latency must include that wait.
 #[test]
-fn an_open_loop_counts_latency_from_the_intended_start() {
+fn open_loop_counts_latency_from_intended_start() {
     block_on(async {
-        let slow = TargetOptions {
+        let slow_target = TargetOptions {
             slots: 1,
             queue: 10_000,
             service_us: 20_000,
             ..TargetOptions::new("kits-01")
         };
-        let addr = target(slow).await;
-        let open = LoadOptions {
+        let addr = target(slow_target).await;
+        let open_loop = LoadOptions {
             rate: Some(200.0),
             deadline: Millis(60_000),
             ..options(&[addr])
         };
-        let records = Load::new(open).run().await;
+        let records = Load::new(open_loop).run().await;
         let latest = records.iter().max_by_key(|r| r.intended).unwrap();
         assert!(latest.ended - latest.intended > 100_000, "{latest:?}");
     });
