--- a/crates/chicoryrail-testkit/src/chaos/act.rs
+++ b/crates/chicoryrail-testkit/src/chaos/act.rs
@@ -33,7 +33,7 @@
 const DRAIN_BOUND_US: u64 = 3_500_000;
 
 /// Time after which a server gets no new requests once it announces that it leaves, in microseconds:
-/// `drain_timeout_ms` of the boot file (2 s), and half a second for the announcement and for requests in flight.
+/// `drain_timeout_ms` of the boot file (2 s), and half a second for requests in flight.
 const LEAVE_BOUND_US: u64 = 2_500_000;
 
 /// Time for which a leaving server keeps serving before it is killed, in milliseconds.
@@ -84,7 +84,7 @@
         Fault::RacingOperators => race_operators(context),
         Fault::DataCentreOut { centre, for_ms } => {
             let name = format!("data centre {centre}");
-            context.exclusively(&name, || take_out_centre(context, centre, for_ms))
+            context.exclusively(&name, || take_out_dc(context, centre, for_ms))
         }
         Fault::TargetLeaves { target } => {
             let name = format!("target {target}");
@@ -246,7 +246,7 @@
     }
 }
 
-fn take_out_centre(context: &RunContext, centre: usize, for_ms: u64) -> Result<(), String> {
+fn take_out_dc(context: &RunContext, centre: usize, for_ms: u64) -> Result<(), String> {
     let (name, servers) = {
         let cluster = context.cluster();
         let name = cluster.options().deployment.data_centres()[centre];
@@ -307,9 +307,9 @@
         let restarted = context.cluster().restart(Member::Router(host));
         restarted.map_err(|e| e.to_string())?;
         let addr = context.cluster().hosts()[host].readiness;
-        let limit = Millis(500);
-        let ready = context.wait(READY_TIMEOUT_MS, || {
-            crate::cluster::is_ok(addr, "/-/readyz", limit)
+        let timeout = Millis(500);
+        let ready = context.wait_until(READY_TIMEOUT_MS, || {
+            crate::cluster::is_ok(addr, "/-/readyz", timeout)
         });
         if !ready {
             notes.push(format!(
@@ -328,7 +328,7 @@
     let member = Member::Router(host);
     let from = wall_micros();
     context.cluster().ask_to_stop(member);
-    let ended = context.wait(STOP_TIMEOUT_MS, || !context.cluster().is_running(member));
+    let ended = context.wait_until(STOP_TIMEOUT_MS, || !context.cluster().is_running(member));
     let until = wall_micros();
     // Reaps the process, closes its ports, and kills it if it is still running.
     context.cluster().kill(member);
--- a/crates/chicoryrail-testkit/src/chaos/context.rs
+++ b/crates/chicoryrail-testkit/src/chaos/context.rs
@@ -108,7 +108,7 @@
     }
 
     /// Waits until `ready` returns `true`, at most `ms` milliseconds; returns whether it did.
-    pub(crate) fn wait(&self, ms: u64, mut ready: impl FnMut() -> bool) -> bool {
+    pub(crate) fn wait_until(&self, ms: u64, mut ready: impl FnMut() -> bool) -> bool {
         let deadline = Instant::now() + Duration::from_millis(ms);
         while !ready() {
             if Instant::now() >= deadline {
--- a/crates/chicoryrail-testkit/src/checker/evidence.rs
+++ b/crates/chicoryrail-testkit/src/checker/evidence.rs
@@ -65,7 +65,7 @@
 pub struct OutPeriod {
     /// Names of the servers.
     pub servers: Vec<String>,
-    /// End of the time allowed to the system after the announcement.
+    /// End of the delay allowed after the announcement.
     pub from: u64,
     /// When the servers were returned to service, or ended.
     pub until: u64,
--- a/crates/chicoryrail-testkit/src/checker/violation.rs
+++ b/crates/chicoryrail-testkit/src/checker/violation.rs
@@ -62,7 +62,7 @@
         /// What is wrong with the response.
         reason: String,
     },
-    /// A caller got no response by its deadline and the time allowed after it.
+    /// A caller got no response within a second after its deadline.
     Hung {
         /// Id of the request.
         request: String,
@@ -92,7 +92,7 @@
         server: String,
         /// Id of the request.
         request: String,
-        /// Time since the end of the time allowed for the withdrawal, in milliseconds.
+        /// Time from the end of the delay allowed after the announcement to the start of the request, in milliseconds.
         after_ms: u64,
     },
     /// A request ran although its API key is invalid, or for another organisation than that of its API key.
--- a/crates/chicoryrail-testkit/src/load/call.rs
+++ b/crates/chicoryrail-testkit/src/load/call.rs
@@ -63,7 +63,7 @@
     pub server: Option<String>,
     /// Why a successful response does not belong to this request, or is incomplete; `None` if it is right.
     pub wrong: Option<String>,
-    /// Whether the caller abandoned the request because it had no response well after its deadline.
+    /// Whether the caller abandoned the request without a response, a second after its deadline.
     pub hung: bool,
     /// API key that the request carried, by its owner.
     #[serde(default)]
--- a/crates/chicoryrail-testkit/src/load/summary.rs
+++ b/crates/chicoryrail-testkit/src/load/summary.rs
@@ -27,7 +27,7 @@
     pub unknown: u64,
     /// Responses that were incomplete or belonged to another request.
     pub wrong: u64,
-    /// Requests without a response well after their deadline.
+    /// Requests without a response a second after their deadline.
     pub hung: u64,
     /// Orders sent.
     pub orders_sent: u64,
--- a/crates/chicoryrail-testkit/tests/checker.rs
+++ b/crates/chicoryrail-testkit/tests/checker.rs
@@ -229,7 +229,7 @@
     assert_eq!(check(&evidence), [expected]);
 }
 
-/// A request gets no response by its deadline. That is a violation unless its router was paused meanwhile and
+/// A request hangs past its deadline. That is a violation unless its router was paused meanwhile and
 /// could not respond.
 #[rstest]
 #[case::router_runs(None, 1)]
