--- a/crates/chicoryrail-testkit/src/cluster.rs
+++ b/crates/chicoryrail-testkit/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Real processes of a whole deployment, started and stopped by a test or a chore.
+//! Starts a whole deployment as real processes, for tests, the demo and chaos runs, and stops it afterwards.
 
 mod control;
 mod deployment;
@@ -7,16 +7,16 @@
 mod http;
 mod links;
 mod member;
-mod operate;
+mod operator;
 mod options;
 mod organisations;
 mod plan;
-mod platform;
 mod ports;
 mod process;
+mod stand_ins;
 
 pub use deployment::Deployment;
-pub use deployment::ServiceShape;
+pub use deployment::ServicePlan;
 pub use error::ClusterError;
 pub use harness::Cluster;
 pub use http::call_blocking;
@@ -25,6 +25,6 @@
 pub use member::HostPlan;
 pub use member::Member;
 pub use member::TargetPlan;
-pub use operate::Operator;
+pub use operator::Operator;
 pub use options::ClusterOptions;
 pub use ports::free_port;
--- a/crates/chicoryrail-testkit/src/cluster/control.rs
+++ b/crates/chicoryrail-testkit/src/cluster/control.rs
@@ -1,4 +1,4 @@
-//! Killing, pausing, stopping and starting single processes.
+//! Kills, pauses, stops and restarts single processes of a cluster.
 
 use std::process::ExitStatus;
 
@@ -12,83 +12,85 @@
 use crate::cluster::process::Process;
 
 impl Cluster {
-    /// Kills a process at once.
+    /// Kills a process with SIGKILL.
     pub fn kill(&mut self, member: Member) {
-        self.with(member, Process::kill);
-        self.open_ports(member, false);
+        self.with_process(member, Process::kill);
+        self.set_ports_open(member, false);
     }
 
-    /// Stops a process as a debugger does: it keeps its state and does nothing.
+    /// Pauses a process with SIGSTOP, as a debugger does: it keeps its state and does nothing.
     pub fn pause(&mut self, member: Member) {
-        self.with(member, |p| p.signal(Signal::SIGSTOP));
+        self.with_process(member, |p| p.signal(Signal::SIGSTOP));
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process with SIGCONT.
     pub fn thaw(&mut self, member: Member) {
-        self.with(member, |p| p.signal(Signal::SIGCONT));
+        self.with_process(member, |p| p.signal(Signal::SIGCONT));
     }
 
-    /// Asks a process to stop and returns at once.
+    /// Sends SIGTERM and returns without waiting for the process to exit.
     pub fn ask_to_stop(&mut self, member: Member) {
-        self.with(member, |p| p.signal(Signal::SIGTERM));
+        self.with_process(member, |p| p.signal(Signal::SIGTERM));
     }
 
-    /// Asks a process to stop and waits until it has; kills it after `limit`.
+    /// Sends SIGTERM and waits for the process to exit; kills it after `timeout`.
     ///
     /// # Errors
     ///
-    /// Returns an error where it did not stop in time.
-    pub fn stop(&mut self, member: Member, limit: Millis) -> Result<ExitStatus, ClusterError> {
+    /// Returns an error if the process does not exit in time, is not running or does not exist.
+    pub fn stop(&mut self, member: Member, timeout: Millis) -> Result<ExitStatus, ClusterError> {
         let stopped = match self.processes.get_mut(&member) {
-            Some(process) => process.stop(limit),
-            None => Err(unknown(member)),
+            Some(process) => process.stop(timeout),
+            None => Err(unknown_member(member)),
         };
-        self.open_ports(member, false);
+        self.set_ports_open(member, false);
         stopped
     }
 
-    /// Starts a process that has ended, with the same settings; returns at once.
+    /// Starts a process that has exited, with the same settings; returns without waiting until it is ready.
     ///
     /// # Errors
     ///
-    /// Returns why it could not be started.
+    /// Returns an error if the process can't be started.
     pub fn restart(&mut self, member: Member) -> Result<(), ClusterError> {
         match self.processes.get_mut(&member) {
             Some(process) => process.start()?,
-            None => return Err(unknown(member)),
+            None => return Err(unknown_member(member)),
         }
-        self.open_ports(member, true);
+        self.set_ports_open(member, true);
         Ok(())
     }
 
-    /// Tells whether a process runs.
+    /// Returns whether a process exists, running or paused.
     pub fn is_running(&mut self, member: Member) -> bool {
         self.processes
             .get_mut(&member)
             .is_some_and(Process::is_running)
     }
 
-    /// Returns the system's id of a process that runs.
+    /// Returns the process ID; `None` if the process is not running.
     pub fn pid(&mut self, member: Member) -> Option<u32> {
         self.processes.get_mut(&member).and_then(Process::pid)
     }
 
-    /// Returns the first process that has ended although nobody killed or stopped it.
+    /// Checks that every process is still running.
     ///
     /// # Errors
     ///
-    /// Returns which process ended, how, and where its log is.
+    /// Returns the first process that is not running, with its exit status and the path of its log.
     pub fn check(&mut self) -> Result<(), ClusterError> {
-        self.processes.values_mut().try_for_each(Process::check)
+        self.processes
+            .values_mut()
+            .try_for_each(Process::ensure_running)
     }
 
-    /// Closes the ports of a process that has ended on the links to it, as its own port is closed,
-    /// or opens them again.
-    fn open_ports(&self, member: Member, open: bool) {
+    /// Opens or closes the proxied ports of a process. The port of an exited process refuses connections, and so
+    /// must the links to it.
+    fn set_ports_open(&self, member: Member, open: bool) {
         let Some(links) = &self.links else {
             return;
         };
-        for link in links.to(member) {
+        for link in links.links_to(member) {
             link.set(LinkFault {
                 closed: !open,
                 ..link.fault()
@@ -96,16 +98,16 @@
         }
     }
 
-    fn with(&mut self, member: Member, act: impl FnOnce(&mut Process)) {
+    fn with_process(&mut self, member: Member, action: impl FnOnce(&mut Process)) {
         if let Some(process) = self.processes.get_mut(&member) {
-            act(process);
+            action(process);
         }
     }
 }
 
-fn unknown(member: Member) -> ClusterError {
+fn unknown_member(member: Member) -> ClusterError {
     ClusterError::Call {
-        what: member.to_string(),
-        message: "the cluster has no such process".to_owned(),
+        operation: member.to_string(),
+        message: "no such process in the cluster".to_owned(),
     }
 }
--- a/crates/chicoryrail-testkit/src/cluster/deployment.rs
+++ b/crates/chicoryrail-testkit/src/cluster/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments of the brief, in their sizes of today.
+//! The two deployments of the specification, with their current sizes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,23 +14,24 @@
 use crate::LoadKind;
 use crate::LoadService;
 
-/// Keys that the load asks for in each service.
-const KEYS: u32 = 500;
+/// Number of keys that the load requests from each service.
+const KEY_COUNT: u32 = 500;
 
-/// Exponent of the load's Zipf distribution of keys.
-const SKEW: f64 = 0.8;
+/// Exponent of the Zipf distribution by which the load selects keys.
+const ZIPF_EXPONENT: f64 = 0.8;
 
-/// Requests a second that a cold server bears, as the configuration says.
-const COLD_RATE: f64 = 5.0;
+/// Requests a second that the configuration allows to a server during its warm-up.
+const WARMUP_RATE: f64 = 5.0;
 
-/// What a cold server really bears in a second: 1.5 times that and 5 more, as the boot file says.
-const COLD_BEARS: u32 = 12;
+/// Requests that a target may receive in any second of its warm-up; more are an overrun. It is 1.5 times
+/// `WARMUP_RATE` (`cold_over` in the boot file) plus 5 (`cold_slack`), rounded down.
+const WARMUP_LIMIT: u32 = 12;
 
-/// Longest time for a request, and the latency that is aimed at.
-const TIMEOUT: Millis = Millis(1_000);
-const AIM: Millis = Millis(300);
+/// Timeout of a request, and its latency target.
+const REQUEST_TIMEOUT: Millis = Millis(1_000);
+const LATENCY_TARGET: Millis = Millis(300);
 
-/// A deployment.
+/// A deployment of the specification.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
     /// Updraft Classroom Systems.
@@ -39,53 +40,58 @@
     Tanduay,
 }
 
-/// A service of a deployment.
+/// Size and load of a service of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServiceShape {
+pub struct ServicePlan {
     /// Name of the service; its path is `/v1/{name}/`.
     pub name: &'static str,
-    /// Whether each key is served by the one server that holds it.
+    /// Whether each key is served only by the server that owns it.
     pub keyed: bool,
     /// Number of servers.
     pub servers: usize,
-    /// What the load sends.
-    pub load: LoadKind,
-    /// Share of the load.
+    /// Kind of the requests that the load sends.
+    pub load_kind: LoadKind,
+    /// Share of the load, relative to the other services.
     pub weight: u32,
 }
 
-const fn shape(name: &'static str, servers: usize, load: LoadKind, weight: u32) -> ServiceShape {
-    ServiceShape {
+const fn service_plan(
+    name: &'static str,
+    servers: usize,
+    load_kind: LoadKind,
+    weight: u32,
+) -> ServicePlan {
+    ServicePlan {
         name,
         keyed: false,
         servers,
-        load,
+        load_kind,
         weight,
     }
 }
 
-const fn keyed(mut shape: ServiceShape) -> ServiceShape {
-    shape.keyed = true;
-    shape
+const fn keyed(mut plan: ServicePlan) -> ServicePlan {
+    plan.keyed = true;
+    plan
 }
 
-/// Lessons and flight logs share twelve servers in the brief; eight of them serve lessons here and four
-/// the nightly logs.
-const UPDRAFT: &[ServiceShape] = &[
-    keyed(shape("kits", 12, LoadKind::Lookup, 5)),
-    shape("placement", 8, LoadKind::Order, 2),
-    shape("lessons", 8, LoadKind::Lookup, 2),
-    shape("flight-logs", 4, LoadKind::Report, 1),
+/// In the specification, lessons and flight logs share twelve servers. Here eight of them serve lessons and four
+/// serve the nightly flight logs.
+const UPDRAFT: &[ServicePlan] = &[
+    keyed(service_plan("kits", 12, LoadKind::Lookup, 5)),
+    service_plan("placement", 8, LoadKind::Order, 2),
+    service_plan("lessons", 8, LoadKind::Lookup, 2),
+    service_plan("flight-logs", 4, LoadKind::Report, 1),
 ];
 
-const TANDUAY: &[ServiceShape] = &[
-    keyed(shape("repair-status", 13, LoadKind::Lookup, 5)),
-    shape("booking", 8, LoadKind::Order, 3),
-    shape("cask-history", 12, LoadKind::Lookup, 2),
+const TANDUAY: &[ServicePlan] = &[
+    keyed(service_plan("repair-status", 13, LoadKind::Lookup, 5)),
+    service_plan("booking", 8, LoadKind::Order, 3),
+    service_plan("cask-history", 12, LoadKind::Lookup, 2),
 ];
 
 impl Deployment {
-    /// Returns the name.
+    /// Returns the name, as given on the command line.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -94,7 +100,7 @@
         }
     }
 
-    /// Returns the host that callers name.
+    /// Returns the virtual host of the requests: the value of their `Host` header.
     #[must_use]
     pub const fn host(self) -> &'static str {
         match self {
@@ -114,14 +120,14 @@
 
     /// Returns the services.
     #[must_use]
-    pub const fn services(self) -> &'static [ServiceShape] {
+    pub const fn services(self) -> &'static [ServicePlan] {
         match self {
             Self::Updraft => UPDRAFT,
             Self::Tanduay => TANDUAY,
         }
     }
 
-    /// Returns the slots of a server.
+    /// Returns the number of requests that a server runs concurrently.
     #[must_use]
     pub const fn slots(self) -> u32 {
         match self {
@@ -130,7 +136,7 @@
         }
     }
 
-    /// Returns the connections that a server accepts.
+    /// Returns the number of open connections that a server accepts.
     #[must_use]
     pub const fn connections(self) -> u32 {
         match self {
@@ -139,35 +145,35 @@
         }
     }
 
-    /// Returns the requests that a cold server bears in any second, from all hosts together.
+    /// Returns the number of requests that a server may receive in any second of its warm-up, from all hosts together.
     #[must_use]
-    pub const fn cold_bears(self) -> u32 {
-        COLD_BEARS
+    pub const fn warmup_limit(self) -> u32 {
+        WARMUP_LIMIT
     }
 
-    /// Returns the mixed load of the deployment.
+    /// Returns the load of the deployment, by service; its callers stay within their rate limits.
     #[must_use]
     pub fn load(self) -> Vec<LoadService> {
-        let callers = self.usual_callers();
-        let build = |s: &ServiceShape| LoadService {
+        let callers = self.callers_within_limits();
+        let build = |s: &ServicePlan| LoadService {
             keyed: s.keyed,
             callers: callers.clone(),
-            ..LoadService::new(self.host(), &s.path(), s.load)
+            ..LoadService::new(self.host(), &s.path(), s.load_kind)
                 .with_weight(f64::from(s.weight))
-                .with_keys(KEYS, SKEW)
+                .with_keys(KEY_COUNT, ZIPF_EXPONENT)
         };
         self.services().iter().map(build).collect()
     }
 
-    /// Returns the first configuration, for servers that stay cold for `cold` after their start.
+    /// Returns the first configuration, for servers that warm up for `warmup` after their start.
     #[must_use]
-    pub fn site(self, cold: Millis) -> Site {
-        let service = |s: &ServiceShape| ServiceSpec {
+    pub fn site(self, warmup: Millis) -> Site {
+        let service = |s: &ServicePlan| ServiceSpec {
             name: s.name.into(),
             health: "/healthz".to_owned(),
             connections: self.connections(),
-            cold,
-            cold_rate: COLD_RATE,
+            cold: warmup,
+            cold_rate: WARMUP_RATE,
             keyed: s.keyed,
         };
         let services = self.services().iter();
@@ -180,31 +186,31 @@
         .with_organisations(self.organisations())
     }
 
-    fn route(self, shape: &ServiceShape) -> Route {
-        let (kind, attempts) = match shape.load {
+    fn route(self, plan: &ServicePlan) -> Route {
+        let (kind, attempts) = match plan.load_kind {
             LoadKind::Order => (RouteKind::Order, 1),
             LoadKind::Lookup | LoadKind::Report => (RouteKind::Read, 2),
         };
         Route {
-            name: shape.name.to_owned(),
+            name: plan.name.to_owned(),
             host: self.host().to_owned(),
-            prefix: shape.path(),
+            prefix: plan.path(),
             kind,
-            timeout: TIMEOUT,
-            aim: AIM,
-            rank: u8::from(shape.load == LoadKind::Report),
+            timeout: REQUEST_TIMEOUT,
+            aim: LATENCY_TARGET,
+            rank: u8::from(plan.load_kind == LoadKind::Report),
             attempts,
             public: false,
             parts: vec![Part {
-                service: shape.name.into(),
+                service: plan.name.into(),
                 weight: 1,
             }],
         }
     }
 }
 
-impl ServiceShape {
-    /// Returns the path prefix.
+impl ServicePlan {
+    /// Returns the path prefix of the service, `/v1/{name}/`.
     #[must_use]
     pub fn path(&self) -> String {
         format!("/v1/{}/", self.name)
--- a/crates/chicoryrail-testkit/src/cluster/error.rs
+++ b/crates/chicoryrail-testkit/src/cluster/error.rs
@@ -1,60 +1,60 @@
-//! Why a cluster does not do what it should.
+//! Errors of a test cluster.
 
 use std::io;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why a cluster does not do what it should.
+/// Errors of starting, controlling and reading a cluster.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ClusterError {
     /// A program could not be started.
-    #[snafu(display("start {}: {source}", program.display()))]
+    #[snafu(display("cannot start {}: {source}", program.display()))]
     Spawn {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A file could not be read or written.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// No free port was found.
     #[snafu(display("no free port: {source}"))]
     Port {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Something did not happen in time.
-    #[snafu(display("{what} took longer than {limit_ms} ms"))]
-    Late {
-        /// What did not happen.
-        what: String,
-        /// The limit in milliseconds.
-        limit_ms: u64,
+    /// An operation did not finish in time.
+    #[snafu(display("{operation} took longer than {timeout_ms} ms"))]
+    Timeout {
+        /// The operation.
+        operation: String,
+        /// The timeout in milliseconds.
+        timeout_ms: u64,
     },
-    /// A process ended that should run.
-    #[snafu(display("{name} ended: {status}; its log is {}", log.display()))]
-    Ended {
+    /// A process that should be running has exited or was not started.
+    #[snafu(display("{name} is not running: {status}; log file: {}", log_path.display()))]
+    Exited {
         /// Name of the process.
         name: String,
-        /// How it ended.
+        /// Exit status, or "not started".
         status: String,
-        /// Its log.
-        log: PathBuf,
+        /// Path of its log file.
+        log_path: PathBuf,
     },
-    /// A call failed.
-    #[snafu(display("{what}: {message}"))]
+    /// A request or a command failed.
+    #[snafu(display("{operation}: {message}"))]
     Call {
-        /// What was called.
-        what: String,
-        /// What came back.
+        /// The request or command.
+        operation: String,
+        /// Why it failed.
         message: String,
     },
 }
--- a/crates/chicoryrail-testkit/src/cluster/harness.rs
+++ b/crates/chicoryrail-testkit/src/cluster/harness.rs
@@ -1,4 +1,4 @@
-//! The cluster itself.
+//! A cluster of processes: its state and its start.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,19 +20,19 @@
 use crate::TargetPlan;
 use crate::cluster::error::FileSnafu;
 use crate::cluster::error::PortSnafu;
-use crate::cluster::http::wait_answer;
+use crate::cluster::http::wait_until_ok;
 use crate::cluster::plan;
-use crate::cluster::plan::pair;
+use crate::cluster::plan::flag_and_value;
 use crate::cluster::process::Process;
 
-/// Time in which a started process must answer; a busy machine may take seconds.
-const START_LIMIT: Millis = Millis(20_000);
+/// Timeout for the first response of a started process; on a busy machine this can take seconds.
+const START_TIMEOUT: Millis = Millis(20_000);
 
-/// All processes of a deployment; dropping it kills and reaps every one.
+/// All processes of a deployment; dropping it kills and reaps all of them.
 #[derive(Debug)]
 pub struct Cluster {
     pub(super) options: ClusterOptions,
-    pub(super) bin: PathBuf,
+    pub(super) program_dir: PathBuf,
     pub(super) dir: PathBuf,
     pub(super) store: SocketAddr,
     pub(super) targets: Vec<TargetPlan>,
@@ -42,22 +42,22 @@
 }
 
 impl Cluster {
-    /// Starts every process and waits until all of them answer. No configuration is in force yet.
+    /// Starts every process and waits until each responds. No configuration is active yet.
     ///
     /// # Errors
     ///
-    /// Returns why a process could not be started or does not answer.
+    /// Returns an error if a process can't be started or does not respond.
     pub fn start(options: ClusterOptions) -> Result<Self, ClusterError> {
-        let bin = match &options.bin {
-            Some(bin) => bin.clone(),
-            None => programs()?,
+        let program_dir = match &options.bin {
+            Some(program_dir) => program_dir.clone(),
+            None => default_program_dir()?,
         };
-        let dir = match &options.dir {
+        let dir = match &options.run_dir {
             Some(dir) => dir.clone(),
-            None => new_dir(&bin, options.deployment.name()),
+            None => new_run_dir(&program_dir, options.deployment.name()),
         };
         std::fs::create_dir_all(&dir).context(FileSnafu { path: &dir })?;
-        let store = plan::port()?;
+        let store = plan::listen_addr()?;
         let mut targets = plan::targets(&options, &dir)?;
         let hosts = plan::hosts(&options)?;
         let links = if options.proxied {
@@ -73,39 +73,39 @@
             links,
             processes: BTreeMap::new(),
             options,
-            bin,
+            program_dir,
             dir,
         };
-        cluster.start_platform()?;
+        cluster.start_stand_ins()?;
         cluster.start_hosts()?;
         Ok(cluster)
     }
 
-    /// Returns the settings.
+    /// Returns the settings of the cluster.
     #[must_use]
     pub const fn options(&self) -> &ClusterOptions {
         &self.options
     }
 
-    /// Returns the folder of the programs.
+    /// Returns the directory of the programs.
     #[must_use]
-    pub fn bin(&self) -> &Path {
-        &self.bin
+    pub fn program_dir(&self) -> &Path {
+        &self.program_dir
     }
 
-    /// Returns the folder of logs and ledgers.
+    /// Returns the directory of logs, ledgers and boot files.
     #[must_use]
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// Returns the address of the store.
+    /// Returns the address on which the store listens.
     #[must_use]
     pub const fn store(&self) -> SocketAddr {
         self.store
     }
 
-    /// Returns the proxied links; `None` where processes reach each other directly.
+    /// Returns the proxied links; `None` if processes connect to each other directly.
     #[must_use]
     pub const fn links(&self) -> Option<&Links> {
         self.links.as_ref()
@@ -123,45 +123,45 @@
         &self.hosts
     }
 
-    /// Returns the hosts as callers and the balancer know them.
+    /// Returns the addresses that callers and the load balancer use, one entry per host.
     #[must_use]
     pub fn entries(&self) -> Vec<LoadHost> {
-        let entry = |h: &HostPlan| LoadHost {
+        let load_host = |h: &HostPlan| LoadHost {
             callers: h.callers,
             readiness: Some(h.readiness),
         };
-        self.hosts.iter().map(entry).collect()
+        self.hosts.iter().map(load_host).collect()
     }
 
-    /// Returns the first configuration.
+    /// Returns the first configuration of the deployment.
     #[must_use]
     pub fn site(&self) -> Site {
-        self.options.deployment.site(self.options.cold_ms)
+        self.options.deployment.site(self.options.warmup)
     }
 
-    fn start_platform(&mut self) -> Result<(), ClusterError> {
-        let mut store = Vec::from(pair("--listen", &self.store));
-        store.extend(pair("--seed", &self.options.seed));
-        if let Some(n) = self.options.writes {
-            store.extend(pair("--writes-per-second", &n));
+    fn start_stand_ins(&mut self) -> Result<(), ClusterError> {
+        let mut store_args = Vec::from(flag_and_value("--listen", &self.store));
+        store_args.extend(flag_and_value("--seed", &self.options.seed));
+        if let Some(n) = self.options.writes_per_s {
+            store_args.extend(flag_and_value("--writes-per-second", &n));
         }
-        if let Some(n) = self.options.reads {
-            store.extend(pair("--reads-per-second", &n));
+        if let Some(n) = self.options.reads_per_s {
+            store_args.extend(flag_and_value("--reads-per-second", &n));
         }
-        self.spawn(Member::Store, "testkit-store", store)?;
+        self.spawn(Member::Store, "testkit-store", store_args)?;
         for i in 0..self.targets.len() {
             let args = self.targets[i].args(&self.options, self.store, i as u64);
             self.spawn(Member::Target(i), "testkit-target", args)?;
         }
-        wait_answer(
+        wait_until_ok(
             self.store,
             "/testkit/stats",
-            START_LIMIT,
+            START_TIMEOUT,
             "start of the store",
         )?;
         for target in &self.targets {
-            let what = format!("start of {}", target.name);
-            wait_answer(target.addr, "/testkit/ledger", START_LIMIT, &what)?;
+            let operation = format!("start of {}", target.name);
+            wait_until_ok(target.addr, "/testkit/ledger", START_TIMEOUT, &operation)?;
         }
         Ok(())
     }
@@ -170,24 +170,26 @@
         for i in 0..self.hosts.len() {
             let host = &self.hosts[i];
             let path = self.dir.join(format!("{}.toml", host.name));
-            let text = host.boot(self.store_seen(i));
+            let text = host.boot_file(self.store_addr(i));
             std::fs::write(&path, text).context(FileSnafu { path: &path })?;
-            let mut args = Vec::from(pair("--metrics-port", &host.metrics.port()));
-            args.extend(self.options.flags.iter().cloned());
-            self.spawn_with(Member::Router(i), "chicoryrail-router", args, Some(&path))?;
+            let mut args = Vec::from(flag_and_value("--metrics-port", &host.metrics_addr.port()));
+            args.extend(self.options.router_flags.iter().cloned());
+            self.spawn_with_boot_file(Member::Router(i), "chicoryrail-router", args, Some(&path))?;
         }
         for host in &self.hosts {
-            let what = format!("start of the router of {}", host.name);
-            if let Err(late) = wait_answer(host.metrics, "/metrics", START_LIMIT, &what) {
+            let operation = format!("start of the router of {}", host.name);
+            if let Err(error) =
+                wait_until_ok(host.metrics_addr, "/metrics", START_TIMEOUT, &operation)
+            {
                 self.check()?;
-                return Err(late);
+                return Err(error);
             }
         }
         Ok(())
     }
 
-    /// Returns the address at which a host finds the store.
-    fn store_seen(&self, host: usize) -> SocketAddr {
+    /// Returns the address at which a host reaches the store: that of its link if links are proxied.
+    fn store_addr(&self, host: usize) -> SocketAddr {
         match &self.links {
             Some(links) => links.store(host).addr(),
             None => self.store,
@@ -200,32 +202,35 @@
         program: &str,
         args: Vec<String>,
     ) -> Result<(), ClusterError> {
-        self.spawn_with(member, program, args, None)
+        self.spawn_with_boot_file(member, program, args, None)
     }
 
-    /// Starts a program, with a boot file where it needs one.
-    fn spawn_with(
+    /// Starts a program, with the path of its boot file if it needs one.
+    fn spawn_with_boot_file(
         &mut self,
         member: Member,
         program: &str,
         args: Vec<String>,
-        boot: Option<&Path>,
+        boot_file: Option<&Path>,
     ) -> Result<(), ClusterError> {
-        let program = self.bin.join(program);
+        let program = self.program_dir.join(program);
         let process = Process::new(&member.to_string(), program, args, &self.dir);
-        let mut process = process.with_level(&self.options.log).with_boot(boot);
+        let mut process = process
+            .with_log_level(&self.options.log_level)
+            .with_boot_file(boot_file);
         process.start()?;
         self.processes.insert(member, process);
         Ok(())
     }
 }
 
-/// Returns the folder of the programs that belong to the running one; a test stands one below.
-fn programs() -> Result<PathBuf, ClusterError> {
-    let own = std::env::current_exe().context(FileSnafu {
+/// Returns the directory of the programs built together with the running one. Tests and examples lie one
+/// directory below it.
+fn default_program_dir() -> Result<PathBuf, ClusterError> {
+    let executable = std::env::current_exe().context(FileSnafu {
         path: "the running program",
     })?;
-    let dir = own.parent().unwrap_or(Path::new("."));
+    let dir = executable.parent().unwrap_or(Path::new("."));
     let dir = match dir.file_name() {
         Some(name) if name == "deps" || name == "examples" => dir.parent().unwrap_or(dir),
         _ => dir,
@@ -233,9 +238,12 @@
     Ok(dir.to_owned())
 }
 
-fn new_dir(bin: &Path, name: &str) -> PathBuf {
+fn new_run_dir(program_dir: &Path, deployment: &str) -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
-    let runs = bin.parent().unwrap_or(bin).join("testkit-runs");
-    runs.join(format!("{name}-{}-{count}", std::process::id()))
+    let runs = program_dir
+        .parent()
+        .unwrap_or(program_dir)
+        .join("testkit-runs");
+    runs.join(format!("{deployment}-{}-{count}", std::process::id()))
 }
--- a/crates/chicoryrail-testkit/src/cluster/http.rs
+++ b/crates/chicoryrail-testkit/src/cluster/http.rs
@@ -1,4 +1,4 @@
-//! Calls from code that runs on no runtime.
+//! Blocking HTTP requests for code outside an async runtime.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,66 +13,66 @@
 
 use crate::ClusterError;
 
-/// Sends a request and waits for the whole answer; returns status and body.
+/// Sends a request, waits for the whole response and returns its status and body.
 ///
-/// It runs on a thread and a runtime of its own, so it may be called from anywhere.
+/// The request runs on its own thread with its own runtime, so this may be called from any thread.
 ///
 /// # Errors
 ///
-/// Returns [`ClusterError::Call`] where no whole answer came in time.
+/// Returns [`ClusterError::Call`] if the request is invalid or no whole response arrives within `timeout`.
 pub fn call_blocking(
     method: &Method,
     addr: SocketAddr,
     path: &str,
     body: impl Into<Bytes>,
-    limit: Millis,
+    timeout: Millis,
 ) -> Result<(u16, Bytes), ClusterError> {
-    let what = format!("{method} {addr}{path}");
-    let fail = |message: String| ClusterError::Call {
-        what: what.clone(),
+    let operation = format!("{method} {addr}{path}");
+    let call_error = |message: String| ClusterError::Call {
+        operation: operation.clone(),
         message,
     };
     let request = Request::builder()
         .method(method)
         .uri(path)
         .body(body.into())
-        .map_err(|e| fail(e.to_string()))?;
+        .map_err(|e| call_error(e.to_string()))?;
     let called = std::thread::spawn(move || {
         let client = HttpClient::default().with_limit(1 << 30);
-        block_on(async { client.call(addr, request, limit).await })
+        block_on(async { client.call(addr, request, timeout).await })
             .map(|a| (a.status().as_u16(), a.into_body()))
             .map_err(|e| e.to_string())
     });
     match called.join() {
-        Ok(result) => result.map_err(fail),
-        Err(_) => Err(fail("the calling thread panicked".to_owned())),
+        Ok(result) => result.map_err(call_error),
+        Err(_) => Err(call_error("the request thread panicked".to_owned())),
     }
 }
 
-/// Tells whether a `GET` is answered with status 200.
-pub(crate) fn is_ok(addr: SocketAddr, path: &str, limit: Millis) -> bool {
+/// Returns whether a `GET` request returns status 200.
+pub(crate) fn is_ok(addr: SocketAddr, path: &str, timeout: Millis) -> bool {
     matches!(
-        call_blocking(&Method::GET, addr, path, "", limit),
+        call_blocking(&Method::GET, addr, path, "", timeout),
         Ok((200, _))
     )
 }
 
-/// Waits until a `GET` is answered with status 200.
-pub(crate) fn wait_answer(
+/// Repeats a `GET` request until it returns status 200.
+pub(crate) fn wait_until_ok(
     addr: SocketAddr,
     path: &str,
-    limit: Millis,
-    what: &str,
+    timeout: Millis,
+    operation: &str,
 ) -> Result<(), ClusterError> {
-    let until = Instant::now() + limit.duration();
-    while Instant::now() < until {
+    let deadline = Instant::now() + timeout.duration();
+    while Instant::now() < deadline {
         if is_ok(addr, path, Millis(1_000)) {
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    Err(ClusterError::Late {
-        what: what.to_owned(),
-        limit_ms: limit.0,
+    Err(ClusterError::Timeout {
+        operation: operation.to_owned(),
+        timeout_ms: timeout.0,
     })
 }
--- a/crates/chicoryrail-testkit/src/cluster/links.rs
+++ b/crates/chicoryrail-testkit/src/cluster/links.rs
@@ -9,20 +9,20 @@
 use crate::Net;
 use crate::TargetPlan;
 
-/// The links of a cluster; each passes everything on until a fault is scripted.
+/// The proxied links of a cluster; each forwards all traffic until a fault is set on it.
 ///
-/// Each host reaches the store over a link of its own. All hosts reach a target over the same link, since
-/// the target registers one address. Hosts talk to each other by datagrams, which no link carries; a host
-/// that hears nobody is played by a pause of its process.
+/// Each host connects to the store over its own link. All hosts share one link to a target, since a target
+/// registers a single address. Hosts exchange datagrams, which no link carries; pausing the process of a host
+/// simulates the loss of its datagrams.
 #[derive(Debug)]
 pub struct Links {
-    stores: Vec<Link>,
-    targets: Vec<Link>,
+    store_links: Vec<Link>,
+    target_links: Vec<Link>,
     _net: Net,
 }
 
 impl Links {
-    /// Starts the links, and shows the targets at theirs.
+    /// Starts the links and sets the address of its link as the advertised address of each target.
     pub(crate) fn start(
         seed: u64,
         store: SocketAddr,
@@ -30,46 +30,46 @@
         hosts: &[HostPlan],
     ) -> io::Result<Self> {
         let mut net = Net::start(seed);
-        let mut stores = Vec::new();
+        let mut store_links = Vec::new();
         for host in hosts {
-            stores.push(net.link(&format!("{} to store", host.name), store)?);
+            store_links.push(net.link(&format!("{} to store", host.name), store)?);
         }
         let mut target_links = Vec::new();
         for target in targets {
             let link = net.link(&format!("to {}", target.name), target.addr)?;
-            target.shown = link.addr();
+            target.advertised_addr = link.addr();
             target_links.push(link);
         }
         Ok(Self {
-            stores,
-            targets: target_links,
+            store_links,
+            target_links,
             _net: net,
         })
     }
 
-    /// Returns the link from a host to the store.
+    /// Returns the link from the host with this index to the store.
     #[must_use]
     pub fn store(&self, host: usize) -> &Link {
-        &self.stores[host]
+        &self.store_links[host]
     }
 
-    /// Returns the link to a target.
+    /// Returns the link to the target with this index.
     #[must_use]
     pub fn target(&self, target: usize) -> &Link {
-        &self.targets[target]
+        &self.target_links[target]
     }
 
-    /// Iterates over the links to a process.
-    pub fn to(&self, member: Member) -> impl Iterator<Item = &Link> {
-        let target = match member {
-            Member::Target(i) => self.targets.get(i),
+    /// Iterates over the links to a process; a router has none.
+    pub fn links_to(&self, member: Member) -> impl Iterator<Item = &Link> {
+        let target_link = match member {
+            Member::Target(i) => self.target_links.get(i),
             _ => None,
         };
-        let stores: &[Link] = if member == Member::Store {
-            &self.stores
+        let store_links: &[Link] = if member == Member::Store {
+            &self.store_links
         } else {
             &[]
         };
-        target.into_iter().chain(stores)
+        target_link.into_iter().chain(store_links)
     }
 }
--- a/crates/chicoryrail-testkit/src/cluster/member.rs
+++ b/crates/chicoryrail-testkit/src/cluster/member.rs
@@ -1,17 +1,17 @@
-//! The processes of a cluster and where they listen.
+//! The processes of a cluster and their addresses.
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A process of a cluster, by its index among its kind.
+/// Identifies a process of a cluster; the index counts processes of the same kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Member {
-    /// The store.
+    /// The stand-in of the store.
     Store,
-    /// A target.
+    /// A target, by its index in the cluster's targets.
     Target(usize),
-    /// The router of a host.
+    /// The router of a host, by its index in the cluster's hosts.
     Router(usize),
 }
 
@@ -25,36 +25,36 @@
     }
 }
 
-/// A target of a cluster.
+/// Configuration of a target: its identity, addresses and files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetPlan {
     /// Name of the server.
     pub name: String,
-    /// Index of its service in the deployment.
+    /// Index of its service in [`Deployment::services`](crate::Deployment::services).
     pub service: usize,
-    /// Its data centre.
+    /// Data centre.
     pub dc: String,
-    /// Address that it listens on.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Address that it registers; another one than `addr` behind a proxy.
-    pub shown: SocketAddr,
-    /// File of its ledger.
+    /// Address that it registers in the store; the proxy's address if it is behind a proxy, `addr` otherwise.
+    pub advertised_addr: SocketAddr,
+    /// Path of its ledger, the file in which it records every executed request.
     pub ledger: PathBuf,
 }
 
-/// An entry host of a cluster.
+/// Configuration of an entry host: its identity and addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostPlan {
     /// Name of the host.
     pub name: String,
-    /// Its data centre.
+    /// Data centre.
     pub dc: String,
-    /// Listener for callers.
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Listener for the balancer's question.
+    /// Address of the listener for the load balancer's health checks.
     pub readiness: SocketAddr,
-    /// Listener for metrics.
-    pub metrics: SocketAddr,
-    /// Address of its talk with the other hosts.
-    pub talk: SocketAddr,
+    /// Address of the metrics endpoint.
+    pub metrics_addr: SocketAddr,
+    /// Address for messages between hosts.
+    pub peer_addr: SocketAddr,
 }
--- a/crates/chicoryrail-testkit/src/cluster/operate.rs
+++ b/crates/chicoryrail-testkit/src/cluster/operator.rs
@@ -1,4 +1,4 @@
-//! Acts of operators, through their command line.
+//! Runs operator commands with `chicoryctl`.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -13,10 +13,12 @@
 use crate::ClusterError;
 use crate::cluster::error::FileSnafu;
 use crate::cluster::error::SpawnSnafu;
-use crate::cluster::http::wait_answer;
-use crate::cluster::plan::pair;
+use crate::cluster::http::wait_until_ok;
+use crate::cluster::plan::flag_and_value;
 
-/// Runs the operators' program; it needs no lock of the cluster.
+/// Runs `chicoryctl` against the store of a cluster.
+///
+/// It holds no reference to the [`Cluster`], so commands run without the lock of a shared one.
 #[derive(Clone, Debug)]
 pub struct Operator {
     program: PathBuf,
@@ -25,14 +27,15 @@
 }
 
 impl Operator {
-    /// Puts a configuration; `name` tells operators who act at the same time apart.
+    /// Writes a configuration to the store; operators that run concurrently must use different names, since `name`
+    /// is part of the file name.
     ///
     /// # Errors
     ///
-    /// Returns what the program printed where it did not succeed.
+    /// Returns what `chicoryctl` printed to standard error if it fails.
     pub fn put(&self, name: &str, site: &Site) -> Result<(), ClusterError> {
         let text = toml::to_string(&SiteFile::of(site)).map_err(|e| ClusterError::Call {
-            what: "write the configuration".to_owned(),
+            operation: "write the configuration".to_owned(),
             message: e.to_string(),
         })?;
         let path = self.dir.join(format!("site-{name}.toml"));
@@ -41,32 +44,32 @@
         self.run(&["config", "put", &path]).map(|_| ())
     }
 
-    /// Takes a data centre out, whatever is left.
+    /// Takes a data centre out of service, with `--force`: also if less than half of the slots of a service remain.
     ///
     /// # Errors
     ///
-    /// Returns what the program printed where it did not succeed.
+    /// Returns what `chicoryctl` printed to standard error if it fails.
     pub fn take_out(&self, dc: &DcName) -> Result<(), ClusterError> {
         self.run(&["dc", "out", dc.as_str(), "--force"]).map(|_| ())
     }
 
-    /// Brings a data centre back.
+    /// Puts a data centre back into service.
     ///
     /// # Errors
     ///
-    /// Returns what the program printed where it did not succeed.
+    /// Returns what `chicoryctl` printed to standard error if it fails.
     pub fn bring_back(&self, dc: &DcName) -> Result<(), ClusterError> {
         self.run(&["dc", "in", dc.as_str()]).map(|_| ())
     }
 
-    /// Runs a command and returns what it printed.
+    /// Runs a command and returns its standard output.
     ///
     /// # Errors
     ///
-    /// Returns what the program printed where it did not succeed.
+    /// Returns what `chicoryctl` printed to standard error if it fails.
     pub fn run(&self, args: &[&str]) -> Result<String, ClusterError> {
         let output = Command::new(&self.program)
-            .args(pair("--store", &self.store))
+            .args(flag_and_value("--store", &self.store))
             .args(args)
             .output()
             .context(SpawnSnafu {
@@ -76,33 +79,33 @@
             return Ok(String::from_utf8_lossy(&output.stdout).into_owned());
         }
         Err(ClusterError::Call {
-            what: format!("chicoryctl {}", args.join(" ")),
+            operation: format!("chicoryctl {}", args.join(" ")),
             message: String::from_utf8_lossy(&output.stderr).trim().to_owned(),
         })
     }
 }
 
 impl Cluster {
-    /// Returns an operator of the installation.
+    /// Returns an operator that uses the store of this cluster.
     #[must_use]
     pub fn operator(&self) -> Operator {
         Operator {
-            program: self.bin.join("chicoryctl"),
+            program: self.program_dir.join("chicoryctl"),
             dir: self.dir.clone(),
             store: self.store.to_string(),
         }
     }
 
-    /// Puts the first configuration and waits until every host takes callers.
+    /// Writes the first configuration and waits until every host is ready for callers.
     ///
     /// # Errors
     ///
-    /// Returns what the program refused, or what took too long.
-    pub fn configure(&self, limit: Millis) -> Result<(), ClusterError> {
+    /// Returns an error if the configuration is rejected or a host is not ready within `timeout`.
+    pub fn configure(&self, timeout: Millis) -> Result<(), ClusterError> {
         self.operator().put("first", &self.site())?;
         for host in &self.hosts {
-            let what = format!("readiness of {}", host.name);
-            wait_answer(host.readiness, "/-/readyz", limit, &what)?;
+            let operation = format!("readiness of {}", host.name);
+            wait_until_ok(host.readiness, "/-/readyz", timeout, &operation)?;
         }
         Ok(())
     }
--- a/crates/chicoryrail-testkit/src/cluster/options.rs
+++ b/crates/chicoryrail-testkit/src/cluster/options.rs
@@ -6,70 +6,70 @@
 
 use crate::Deployment;
 
-/// Settings of a cluster.
+/// Settings of a cluster; [`ClusterOptions::new`] sets the defaults.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterOptions {
-    /// Whose sizes it has.
+    /// Deployment whose services and sizes the cluster has.
     pub deployment: Deployment,
-    /// Entry hosts, each with a router.
+    /// Number of entry hosts, each with a router.
     pub hosts: usize,
-    /// Folder of the programs; the one of the running program where `None`.
+    /// Directory of the programs; that of the running program if `None`.
     pub bin: Option<PathBuf>,
-    /// Folder for logs, ledgers and settings; a new one beside the programs where `None`.
-    pub dir: Option<PathBuf>,
+    /// Directory for logs, ledgers and boot files; `None` creates one in `testkit-runs` beside the program directory.
+    pub run_dir: Option<PathBuf>,
     /// Service time of the targets in microseconds.
     pub service_us: u64,
-    /// Length of the targets' cold start.
-    pub cold_ms: Millis,
-    /// Writes a second that the store lets pass.
-    pub writes: Option<u32>,
-    /// Reads a second that the store lets pass.
-    pub reads: Option<u32>,
-    /// Seed of the stand-ins' faults.
+    /// Time for which a target warms up after its start.
+    pub warmup: Millis,
+    /// Rate limit of the store for writes, per second; `None` for no limit.
+    pub writes_per_s: Option<u32>,
+    /// Rate limit of the store for reads, per second; `None` for no limit.
+    pub reads_per_s: Option<u32>,
+    /// Seed of the random faults of the stand-ins and the proxied links.
     pub seed: u64,
-    /// Whether every link runs through a fault-injecting proxy.
+    /// Whether connections to the store and the targets pass through a fault-injecting proxy.
     pub proxied: bool,
-    /// Further flags of every router.
-    pub flags: Vec<String>,
-    /// Level of the stand-ins' logs.
-    pub log: String,
+    /// Additional command-line flags of every router.
+    pub router_flags: Vec<String>,
+    /// Log level of all processes.
+    pub log_level: String,
 }
 
 impl ClusterOptions {
-    /// Returns the usual settings for a deployment: one host in each data centre.
+    /// Returns the default settings for a deployment: one host in each data centre, no warm-up, no proxies.
     #[must_use]
     pub fn new(deployment: Deployment) -> Self {
         Self {
             deployment,
             hosts: deployment.data_centres().len(),
             bin: None,
-            dir: None,
+            run_dir: None,
             service_us: 2_000,
-            cold_ms: Millis::ZERO,
-            writes: None,
-            reads: None,
+            warmup: Millis::ZERO,
+            writes_per_s: None,
+            reads_per_s: None,
             seed: 1,
             proxied: false,
-            flags: Vec::new(),
-            log: "info".to_owned(),
+            router_flags: Vec::new(),
+            log_level: "info".to_owned(),
         }
     }
 
-    /// Sets the number of entry hosts.
+    /// Sets the number of entry hosts, at least 1.
     #[must_use]
     pub fn with_hosts(mut self, hosts: usize) -> Self {
         self.hosts = hosts.max(1);
         self
     }
 
-    /// Sets the length of the targets' cold start.
+    /// Sets the time for which a target warms up after its start.
     #[must_use]
-    pub fn with_cold(mut self, length: Millis) -> Self {
-        self.cold_ms = length;
+    pub fn with_cold(mut self, warmup: Millis) -> Self {
+        self.warmup = warmup;
         self
     }
 
-    /// Puts a fault-injecting proxy on every link.
+    /// Routes connections to the store and the targets through a fault-injecting proxy.
     #[must_use]
     pub fn with_proxy(mut self) -> Self {
         self.proxied = true;
--- a/crates/chicoryrail-testkit/src/cluster/organisations.rs
+++ b/crates/chicoryrail-testkit/src/cluster/organisations.rs
@@ -1,4 +1,4 @@
-//! The organisations of the deployments.
+//! Organisations of the deployments, with their API keys and rate limits.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 use crate::LoadCaller;
 use crate::QuotaWindow;
 
-/// Organisations, the second with a limit.
-const UNLIMITED: &str = "schools";
-const LIMITED: &str = "clubs";
-const CLUB_LIMIT: QuotaLimit = QuotaLimit {
+/// Names of the organisations: one without a rate limit, one with.
+const UNLIMITED_ORGANISATION: &str = "schools";
+const LIMITED_ORGANISATION: &str = "clubs";
+const LIMITED_QUOTA: QuotaLimit = QuotaLimit {
     rate: 40.0,
     burst: 20.0,
 };
 
-/// Window over which an organisation's requests are counted, as the boot file says.
+/// Window over which requests of an organisation are counted; `quota_window_s` in the boot file.
 const QUOTA_WINDOW_MS: u64 = 5_000;
 
 fn api_key(organisation: &str) -> String {
     format!("key-of-{organisation}")
 }
 
-fn caller(organisation: &str) -> LoadCaller {
+fn caller_of(organisation: &str) -> LoadCaller {
     LoadCaller {
         key: ApiKey::new(&api_key(organisation)),
         organisation: Some(organisation.to_owned()),
@@ -33,7 +33,7 @@
 }
 
 impl Deployment {
-    /// Returns the organisations; none where requests need no key.
+    /// Returns the organisations; `None` if requests need no API key.
     #[must_use]
     pub fn organisations(self) -> Option<Vec<Organisation>> {
         let build = |name: &str, limit| Organisation {
@@ -44,14 +44,16 @@
         };
         match self {
             Self::Updraft => Some(vec![
-                build(UNLIMITED, None),
-                build(LIMITED, Some(CLUB_LIMIT)),
+                build(UNLIMITED_ORGANISATION, None),
+                build(LIMITED_ORGANISATION, Some(LIMITED_QUOTA)),
             ]),
             Self::Tanduay => None,
         }
     }
 
-    /// Returns the requests of each organisation that may run in any window, as the boot file allows.
+    /// Returns, for each organisation with a rate limit, how many of its requests may run in any window.
+    ///
+    /// The boot file allows 10 % (`quota_over`) plus 20 requests (`quota_slack`) beyond rate and burst.
     #[must_use]
     pub fn quotas(self) -> BTreeMap<String, QuotaWindow> {
         let all = self.organisations().unwrap_or_default();
@@ -66,8 +68,8 @@
             .collect()
     }
 
-    /// Returns callers of which one in ten has a limit that it exceeds, and one in ten a key that opens nothing; none
-    /// where requests need no key.
+    /// Returns ten callers: one belongs to an organisation with a rate limit, which it exceeds, and one has an API key
+    /// of no organisation. Returns none if requests need no API key.
     #[must_use]
     pub fn mixed_callers(self) -> Vec<LoadCaller> {
         if self.organisations().is_none() {
@@ -77,15 +79,15 @@
             key: ApiKey::new("opens-nothing"),
             organisation: None,
         };
-        let mut callers = vec![caller(UNLIMITED); 8];
-        callers.extend([caller(LIMITED), unknown]);
+        let mut callers = vec![caller_of(UNLIMITED_ORGANISATION); 8];
+        callers.extend([caller_of(LIMITED_ORGANISATION), unknown]);
         callers
     }
 
-    /// Returns callers within their limits; none where requests need no key.
-    pub(super) fn usual_callers(self) -> Vec<LoadCaller> {
+    /// Returns callers that exceed no rate limit; none if requests need no API key.
+    pub(super) fn callers_within_limits(self) -> Vec<LoadCaller> {
         match self.organisations() {
-            Some(_) => vec![caller(UNLIMITED)],
+            Some(_) => vec![caller_of(UNLIMITED_ORGANISATION)],
             None => Vec::new(),
         }
     }
--- a/crates/chicoryrail-testkit/src/cluster/plan.rs
+++ b/crates/chicoryrail-testkit/src/cluster/plan.rs
@@ -1,4 +1,4 @@
-//! Who listens where, and with which arguments each program starts.
+//! Assigns addresses to the processes of a cluster and builds their arguments and boot files.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,26 +12,26 @@
 use crate::cluster::error::PortSnafu;
 use crate::cluster::ports::free_port;
 
-pub(crate) fn port() -> Result<SocketAddr, ClusterError> {
+pub(crate) fn listen_addr() -> Result<SocketAddr, ClusterError> {
     free_port().context(PortSnafu)
 }
 
-/// Deals the servers of each service to the data centres in turn.
+/// Distributes the servers of each service over the data centres, round robin.
 pub(crate) fn targets(
     options: &ClusterOptions,
     dir: &Path,
 ) -> Result<Vec<TargetPlan>, ClusterError> {
     let dcs = options.deployment.data_centres();
     let mut targets = Vec::new();
-    for (service, shape) in options.deployment.services().iter().enumerate() {
-        for i in 0..shape.servers {
-            let name = format!("{}-{:02}", shape.name, i + 1);
-            let addr = port()?;
+    for (service, plan) in options.deployment.services().iter().enumerate() {
+        for i in 0..plan.servers {
+            let name = format!("{}-{:02}", plan.name, i + 1);
+            let addr = listen_addr()?;
             targets.push(TargetPlan {
                 service,
                 dc: dcs[i % dcs.len()].to_owned(),
                 addr,
-                shown: addr,
+                advertised_addr: addr,
                 ledger: dir.join(format!("{name}.ledger")),
                 name,
             });
@@ -40,32 +40,32 @@
     Ok(targets)
 }
 
-/// Deals the entry hosts to the data centres in turn.
+/// Distributes the entry hosts over the data centres, round robin.
 pub(crate) fn hosts(options: &ClusterOptions) -> Result<Vec<HostPlan>, ClusterError> {
     let dcs = options.deployment.data_centres();
     let host = |i: usize| {
         Ok(HostPlan {
             name: format!("{}-host-{}", options.deployment, i + 1),
             dc: dcs[i % dcs.len()].to_owned(),
-            callers: port()?,
-            readiness: port()?,
-            metrics: port()?,
-            talk: port()?,
+            callers: listen_addr()?,
+            readiness: listen_addr()?,
+            metrics_addr: listen_addr()?,
+            peer_addr: listen_addr()?,
         })
     };
     (0..options.hosts).map(host).collect()
 }
 
 impl HostPlan {
-    /// Returns the text of the host's boot file.
-    pub(crate) fn boot(&self, store: SocketAddr) -> String {
+    /// Returns the content of the host's boot file.
+    pub(crate) fn boot_file(&self, store: SocketAddr) -> String {
         include_str!("boot.toml")
             .replace("NAME", &self.name)
             .replace("ZONE", &self.dc)
             .replace("CALLERS", &self.callers.to_string())
             .replace("READINESS", &self.readiness.to_string())
-            .replace("TALK", &self.talk.port().to_string())
-            .replace("IP", &self.talk.ip().to_string())
+            .replace("TALK", &self.peer_addr.port().to_string())
+            .replace("IP", &self.peer_addr.ip().to_string())
             .replace("STORE", &store.to_string())
     }
 }
@@ -75,31 +75,31 @@
         &self,
         options: &ClusterOptions,
         store: SocketAddr,
-        number: u64,
+        index: u64,
     ) -> Vec<String> {
         let deployment = options.deployment;
-        let shape = &deployment.services()[self.service];
+        let plan = &deployment.services()[self.service];
         let mut args = Vec::new();
-        args.extend(pair("--listen", &self.addr));
-        args.extend(pair("--shown", &self.shown));
-        args.extend(pair("--store", &store));
-        args.extend(pair("--name", &self.name));
-        args.extend(pair("--service", &shape.name));
-        args.extend(pair("--data-centre", &self.dc));
-        args.extend(pair("--slots", &deployment.slots()));
-        args.extend(pair("--connections", &deployment.connections()));
-        args.extend(pair("--service-us", &options.service_us));
-        args.extend(pair("--cold-ms", &options.cold_ms.0));
-        args.extend(pair("--cold-bears", &deployment.cold_bears()));
-        args.extend(pair("--ledger", &self.ledger.display()));
-        args.extend(pair("--seed", &options.seed.wrapping_add(number)));
-        if shape.keyed {
+        args.extend(flag_and_value("--listen", &self.addr));
+        args.extend(flag_and_value("--shown", &self.advertised_addr));
+        args.extend(flag_and_value("--store", &store));
+        args.extend(flag_and_value("--name", &self.name));
+        args.extend(flag_and_value("--service", &plan.name));
+        args.extend(flag_and_value("--data-centre", &self.dc));
+        args.extend(flag_and_value("--slots", &deployment.slots()));
+        args.extend(flag_and_value("--connections", &deployment.connections()));
+        args.extend(flag_and_value("--service-us", &options.service_us));
+        args.extend(flag_and_value("--cold-ms", &options.warmup.0));
+        args.extend(flag_and_value("--cold-bears", &deployment.warmup_limit()));
+        args.extend(flag_and_value("--ledger", &self.ledger.display()));
+        args.extend(flag_and_value("--seed", &options.seed.wrapping_add(index)));
+        if plan.keyed {
             args.push("--keyed".to_owned());
         }
         args
     }
 }
 
-pub(crate) fn pair(flag: &str, value: &impl ToString) -> [String; 2] {
+pub(crate) fn flag_and_value(flag: &str, value: &impl ToString) -> [String; 2] {
     [flag.to_owned(), value.to_string()]
 }
--- a/crates/chicoryrail-testkit/src/cluster/ports.rs
+++ b/crates/chicoryrail-testkit/src/cluster/ports.rs
@@ -1,4 +1,4 @@
-//! Free ports of a loopback address.
+//! Free ports of a loopback address that only this process uses.
 
 use std::collections::HashSet;
 use std::io;
@@ -10,40 +10,42 @@
 
 use rand::Rng;
 
-/// Ports drawn from. They lie below the system's range for outgoing connections, so that a process
-/// that restarts on its port never finds it taken by one.
-const RANGE: std::ops::Range<u16> = 10_000..32_000;
+/// Range from which ports are selected at random. It lies below the ephemeral port range, so that no outgoing
+/// connection can occupy the port of a process while the process restarts.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
 
-/// Draws tried before giving up.
-const DRAWS: u32 = 1_000;
+/// Number of random ports tried before the search fails.
+const MAX_ATTEMPTS: u32 = 1_000;
 
-static TAKEN: LazyLock<Mutex<HashSet<u16>>> = LazyLock::new(Mutex::default);
+/// Ports returned earlier in this process; none is returned twice.
+static ALLOCATED_PORTS: LazyLock<Mutex<HashSet<u16>>> = LazyLock::new(Mutex::default);
 
-/// Returns the loopback address that is this process's own.
+/// Returns a loopback address derived from the process ID.
 ///
-/// Several test processes run clusters at a time. With one address for all, a port that was free when
-/// it was drawn was another cluster's a moment later; callers of one then reached servers of both,
-/// and the checker found two owners. Ids of living processes differ, and so do these addresses.
-fn own_address() -> Ipv4Addr {
+/// Several test processes may run clusters concurrently. If they shared one address, a port that was free when
+/// selected could be bound by another cluster a moment later; callers of one cluster would then reach servers
+/// of both, and the checker would report two owners of a key. IDs of live processes differ, and so do these
+/// addresses.
+fn process_loopback_addr() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 0x40 | (high & 0x3f), middle, low)
 }
 
-/// Returns an address of this process's own loopback address that nobody listens on, once in this
+/// Returns an unused port on the loopback address of this process; never returns the same port twice in one
 /// process.
 ///
 /// # Errors
 ///
-/// Returns `AddrInUse` where no free port is found.
+/// Returns `AddrInUse` if no free port is found in 1,000 attempts.
 pub fn free_port() -> io::Result<SocketAddr> {
-    let mut taken = TAKEN
+    let mut allocated = ALLOCATED_PORTS
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    for _ in 0..DRAWS {
-        let port = rand::rng().random_range(RANGE);
-        let addr = SocketAddr::from((own_address(), port));
-        if !taken.contains(&port) && TcpListener::bind(addr).is_ok() {
-            taken.insert(port);
+    for _ in 0..MAX_ATTEMPTS {
+        let port = rand::rng().random_range(PORT_RANGE);
+        let addr = SocketAddr::from((process_loopback_addr(), port));
+        if !allocated.contains(&port) && TcpListener::bind(addr).is_ok() {
+            allocated.insert(port);
             return Ok(addr);
         }
     }
--- a/crates/chicoryrail-testkit/src/cluster/process.rs
+++ b/crates/chicoryrail-testkit/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! A child process with a log file.
+//! A child process that writes its output to a log file.
 
 use std::fs::OpenOptions;
 use std::path::Path;
@@ -21,18 +21,18 @@
 use crate::cluster::error::FileSnafu;
 use crate::cluster::error::SpawnSnafu;
 
-/// A program that can be started, signalled and started again with the same arguments.
+/// A program with its arguments; it can be started, signalled and restarted.
 ///
-/// The child stays in the process group of its parent, so that Ctrl-C reaches both; dropping it
-/// kills and reaps it.
+/// The child stays in the process group of its parent, so that Ctrl-C reaches both. Dropping the value
+/// kills and reaps the child.
 #[derive(Debug)]
 pub(crate) struct Process {
     name: String,
     program: PathBuf,
     args: Vec<String>,
-    log: PathBuf,
-    level: String,
-    boot: Option<PathBuf>,
+    log_path: PathBuf,
+    log_level: String,
+    boot_file: Option<PathBuf>,
     child: Option<Child>,
 }
 
@@ -42,43 +42,48 @@
             name: name.to_owned(),
             program,
             args,
-            log: dir.join(format!("{name}.log")),
-            level: "info".to_owned(),
-            boot: None,
+            log_path: dir.join(format!("{name}.log")),
+            log_level: "info".to_owned(),
+            boot_file: None,
             child: None,
         }
     }
 
     #[must_use]
-    pub(crate) fn with_level(mut self, level: &str) -> Self {
-        level.clone_into(&mut self.level);
+    pub(crate) fn with_log_level(mut self, log_level: &str) -> Self {
+        log_level.clone_into(&mut self.log_level);
         self
     }
 
-    /// Names the boot file, which the platform does by an environment variable.
+    /// Sets the boot file; the platform passes its path in an environment variable.
     #[must_use]
-    pub(crate) fn with_boot(mut self, boot: Option<&Path>) -> Self {
-        self.boot = boot.map(Path::to_owned);
+    pub(crate) fn with_boot_file(mut self, boot_file: Option<&Path>) -> Self {
+        self.boot_file = boot_file.map(Path::to_owned);
         self
     }
 
-    /// Starts the program where it does not run; its output goes to the end of the log.
+    /// Starts the program unless it is already running; its output is appended to the log file.
     pub(crate) fn start(&mut self) -> Result<(), ClusterError> {
         if self.is_running() {
             return Ok(());
         }
         let open = || {
-            let file = OpenOptions::new().create(true).append(true).open(&self.log);
-            file.context(FileSnafu { path: &self.log })
+            let file = OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(&self.log_path);
+            file.context(FileSnafu {
+                path: &self.log_path,
+            })
         };
         let (out, err) = (open()?, open()?);
         let mut command = Command::new(&self.program);
-        if let Some(boot) = &self.boot {
-            command.env(BOOT_VARIABLE, boot);
+        if let Some(boot_file) = &self.boot_file {
+            command.env(BOOT_VARIABLE, boot_file);
         }
         let child = command
             .args(&self.args)
-            .env("CHICORYRAIL_LOG", &self.level)
+            .env("CHICORYRAIL_LOG", &self.log_level)
             .env("RUST_BACKTRACE", "1")
             .env("CHICORYRAIL_ABORT_ON_VIOLATION", "1")
             .stdin(Stdio::null())
@@ -92,7 +97,7 @@
         Ok(())
     }
 
-    /// Tells whether the process runs or is stopped; reaps it where it has ended.
+    /// Returns whether the process exists, running or paused; reaps it if it has exited.
     pub(crate) fn is_running(&mut self) -> bool {
         match &mut self.child {
             Some(child) => matches!(child.try_wait(), Ok(None)),
@@ -100,7 +105,7 @@
         }
     }
 
-    /// Returns the system's id of the process while it runs.
+    /// Returns the process ID while the process is running.
     pub(crate) fn pid(&mut self) -> Option<u32> {
         if self.is_running() {
             return self.child.as_ref().map(Child::id);
@@ -108,8 +113,8 @@
         None
     }
 
-    /// Fails where the process has ended.
-    pub(crate) fn check(&mut self) -> Result<(), ClusterError> {
+    /// Returns an error if the process has exited.
+    pub(crate) fn ensure_running(&mut self) -> Result<(), ClusterError> {
         if self.is_running() {
             return Ok(());
         }
@@ -117,24 +122,24 @@
             .child
             .as_mut()
             .and_then(|c| c.try_wait().ok().flatten());
-        Err(ClusterError::Ended {
+        Err(ClusterError::Exited {
             name: self.name.clone(),
             status: status.map_or_else(|| "not started".to_owned(), |s| s.to_string()),
-            log: self.log.clone(),
+            log_path: self.log_path.clone(),
         })
     }
 
-    /// Sends a signal; one to an ended process is ignored.
+    /// Sends a signal; does nothing if the process has exited.
     pub(crate) fn signal(&mut self, signal: Signal) {
         if self.is_running()
             && let Some(child) = &self.child
         {
-            // The child is not reaped, so its id can't belong to another process.
+            // The child is not reaped yet, so its process ID can't have been reused.
             let _ = kill(Pid::from_raw(child.id().cast_signed()), signal);
         }
     }
 
-    /// Kills the process at once and reaps it.
+    /// Kills the process with SIGKILL and reaps it.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -142,11 +147,11 @@
         }
     }
 
-    /// Asks the process to stop and waits until it has; kills it after `limit`.
-    pub(crate) fn stop(&mut self, limit: Millis) -> Result<ExitStatus, ClusterError> {
+    /// Sends SIGTERM and waits for the process to exit; kills it after `timeout` and returns an error.
+    pub(crate) fn stop(&mut self, timeout: Millis) -> Result<ExitStatus, ClusterError> {
         self.signal(Signal::SIGTERM);
-        let until = Instant::now() + limit.duration();
-        while Instant::now() < until {
+        let deadline = Instant::now() + timeout.duration();
+        while Instant::now() < deadline {
             if let Some(child) = &mut self.child
                 && let Ok(Some(status)) = child.try_wait()
             {
@@ -156,16 +161,16 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         self.kill();
-        Err(ClusterError::Late {
-            what: format!("stop of {}", self.name),
-            limit_ms: limit.0,
+        Err(ClusterError::Timeout {
+            operation: format!("stop of {}", self.name),
+            timeout_ms: timeout.0,
         })
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // SIGKILL ends a stopped process too.
+        // SIGKILL also ends a paused process.
         self.kill();
     }
 }
--- a/crates/chicoryrail-testkit/src/cluster/platform.rs
+++ b/crates/chicoryrail-testkit/src/cluster/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Calls to the stand-ins, and what they have seen.
+//! Requests to the stand-ins, which return the evidence of a run and switch faults on.
 
 use std::net::SocketAddr;
 
@@ -18,86 +18,86 @@
 use crate::call_blocking;
 use crate::cluster::error::FileSnafu;
 
-/// Limit of a call to a stand-in.
-const CALL_LIMIT: Millis = Millis(5_000);
+/// Timeout of a request to a stand-in.
+const CALL_TIMEOUT: Millis = Millis(5_000);
 
 impl Cluster {
     /// Reads the ledgers of all targets from their files.
     ///
     /// # Errors
     ///
-    /// Returns the file that can't be read.
+    /// Returns an error if a ledger can't be read.
     pub fn ledgers(&self) -> Result<Vec<Ledger>, ClusterError> {
         let read = |t: &TargetPlan| Ledger::read(&t.ledger).context(FileSnafu { path: &t.ledger });
         self.targets.iter().map(read).collect()
     }
 
-    /// Reads every write of the store that took effect.
+    /// Reads the history of the store: every write that took effect.
     ///
     /// # Errors
     ///
-    /// Returns why the store did not answer.
+    /// Returns an error if the store does not respond.
     pub fn history(&self) -> Result<Vec<Change>, ClusterError> {
-        self.get(self.store, "/testkit/history?prefix=")
+        self.get_json(self.store, "/testkit/history?prefix=")
     }
 
-    /// Gathers what callers, targets and the store saw.
+    /// Collects what callers, targets and the store recorded.
     ///
     /// # Errors
     ///
-    /// Returns a ledger that can't be read, or why the store did not answer.
+    /// Returns an error if a ledger can't be read or the store does not respond.
     pub fn evidence(&self, records: Vec<CallRecord>) -> Result<Evidence, ClusterError> {
-        let seen = Evidence {
+        let evidence = Evidence {
             records,
             history: self.history()?,
             quotas: self.options().deployment.quotas(),
             ..Evidence::default()
         };
-        Ok(seen.with_ledgers(self.ledgers()?))
+        Ok(evidence.with_ledgers(self.ledgers()?))
     }
 
-    /// Reads JSON from a stand-in.
+    /// Sends a `GET` request to a stand-in and decodes the JSON of its response.
     ///
     /// # Errors
     ///
-    /// Returns why it did not answer.
-    pub fn get<T: DeserializeOwned>(
+    /// Returns an error if the stand-in does not respond or the body can't be decoded.
+    pub fn get_json<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
     ) -> Result<T, ClusterError> {
-        let (_, body) = call_blocking(&Method::GET, addr, path, "", CALL_LIMIT)?;
+        let (_, body) = call_blocking(&Method::GET, addr, path, "", CALL_TIMEOUT)?;
         serde_json::from_slice(&body).map_err(|e| ClusterError::Call {
-            what: format!("GET {addr}{path}"),
+            operation: format!("GET {addr}{path}"),
             message: e.to_string(),
         })
     }
 
-    /// Switches a fault of a stand-in on.
+    /// Switches on a fault of the stand-in at `addr`.
     ///
     /// # Errors
     ///
-    /// Returns why the stand-in did not take it.
+    /// Returns an error if the stand-in does not respond or rejects the fault.
     pub fn put_fault(&self, addr: SocketAddr, fault: &impl Serialize) -> Result<(), ClusterError> {
-        self.put(addr, "/testkit/fault", fault)
+        self.put_json(addr, "/testkit/fault", fault)
     }
 
-    fn put(
+    fn put_json(
         &self,
         addr: SocketAddr,
         path: &str,
         value: &(impl Serialize + ?Sized),
     ) -> Result<(), ClusterError> {
-        let fail = |message: String| ClusterError::Call {
-            what: format!("PUT {addr}{path}"),
+        let call_error = |message: String| ClusterError::Call {
+            operation: format!("PUT {addr}{path}"),
             message,
         };
-        let body = serde_json::to_vec(value).map_err(|e| fail(e.to_string()))?;
-        match call_blocking(&Method::PUT, addr, path, body, CALL_LIMIT)? {
+        let body = serde_json::to_vec(value).map_err(|e| call_error(e.to_string()))?;
+        match call_blocking(&Method::PUT, addr, path, body, CALL_TIMEOUT)? {
             (200, _) => Ok(()),
             (status, body) => {
                 let text = String::from_utf8_lossy(&body);
-                Err(fail(format!("status {status}: {text}")))
+                Err(call_error(format!("status {status}: {text}")))
             }
         }
     }
--- a/crates/chicoryrail-testkit/src/lib.rs
+++ b/crates/chicoryrail-testkit/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins of the platform, fault-injecting proxy, load generator, checker.
+//! Test kit: stand-ins for the platform, a fault-injecting proxy, a load generator and a checker.
 //!
-//! Everything that a test, the demo or a chaos run needs around the real processes: a key-value
-//! store and targets that speak the protocols of `chicoryrail-platform`, each as a library and as a small program, with faults that a test switches on over HTTP.
+//! Provides everything that tests, the demo and chaos runs need around the real processes. The stand-ins for the
+//! key-value store and for targets implement the protocols of `chicoryrail-platform`. Each is available as a library
+//! and as a small program, and tests switch their faults on over HTTP.
 //!
 //! # Example
 //!
@@ -16,8 +17,8 @@
 //! assert_eq!(kv.commit(&txn).unwrap(), 1);
 //! ```
 //!
-//! Go on with [`Cluster`] for a whole system of processes, [`Load`] for callers, [`Violation::find`] for what
-//! must hold, and [`TargetFault`], [`StoreFault`] and [`LinkFault`] for the faults.
+//! See [`Cluster`] for a whole system of processes, [`Load`] for generated load, [`Violation::find`] for the checked
+//! guarantees, and [`TargetFault`], [`StoreFault`] and [`LinkFault`] for the faults.
 
 mod chaos;
 mod checker;
@@ -48,7 +49,7 @@
 pub use cluster::Links;
 pub use cluster::Member;
 pub use cluster::Operator;
-pub use cluster::ServiceShape;
+pub use cluster::ServicePlan;
 pub use cluster::TargetPlan;
 pub use cluster::call_blocking;
 pub use cluster::free_port;
