--- a/crates/chicoryrail-testkit/src/bin/testkit-chaos.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-chaos.rs
@@ -1,4 +1,4 @@
-//! A chaos run by hand.
+//! Runs a deployment under injected faults and checks its guarantees.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,50 +18,56 @@
 fn main() -> ExitCode {
     let deployment = long("deployment")
         .env("CHICORYRAIL_TESTKIT_DEPLOYMENT")
-        .help("updraft or tanduay")
+        .help("Deployment to run: updraft or tanduay")
         .argument::<Deployment>("NAME")
         .fallback(Deployment::Updraft)
         .display_fallback();
     let seed = long("seed")
         .env("CHICORYRAIL_TESTKIT_SEED")
-        .help("Seed of the faults and the load")
+        .help("Seed for the faults and the load")
         .argument::<u64>("N")
         .fallback(1)
         .display_fallback();
     let seconds = long("seconds")
         .env("CHICORYRAIL_TESTKIT_SECONDS")
-        .help("Length of the load")
+        .help("Duration of the load in seconds")
         .argument::<u64>("N")
         .fallback(20)
         .display_fallback();
-    let only = long("only")
+    let fault_kinds = long("only")
         .env("CHICORYRAIL_TESTKIT_ONLY")
-        .help("Names of the faults that are drawn, separated by commas; all where absent")
+        .help("Names of the faults to inject, separated by commas; all if absent")
         .argument::<String>("NAMES")
         .optional();
-    let bin = long("programs")
+    let program_dir = long("programs")
         .env("CHICORYRAIL_TESTKIT_PROGRAMS")
-        .help("Folder of the programs; that of this one where absent")
+        .help("Directory of the programs; the directory of this program if absent")
         .argument::<PathBuf>("DIR")
         .optional();
-    let keep = long("keep")
+    let keep_evidence = long("keep")
         .env("CHICORYRAIL_TESTKIT_KEEP")
-        .help("Keeps logs and ledgers of a clean run too")
+        .help("Keeps logs and ledgers even if no violation is found")
         .switch();
-    let (deployment, seed, seconds, only, bin, keep) =
-        construct!(deployment, seed, seconds, only, bin, keep)
-            .to_options()
-            .descr("Runs a deployment under faults; the last line is a summary in JSON")
-            .run();
+    let (deployment, seed, seconds, fault_kinds, program_dir, keep_evidence) = construct!(
+        deployment,
+        seed,
+        seconds,
+        fault_kinds,
+        program_dir,
+        keep_evidence
+    )
+    .to_options()
+    .descr("Runs a deployment under injected faults; the last line is a summary in JSON")
+    .run();
     init_logs();
     let mut options = ChaosOptions::new(deployment, seed).with_length(Millis(seconds * 1000));
-    options.only = only
+    options.only = fault_kinds
         .iter()
         .flat_map(|names| names.split(','))
         .map(str::to_owned)
         .collect();
-    options.bin = bin;
-    options.keep = keep;
+    options.bin = program_dir;
+    options.keep = keep_evidence;
 
     if let Err(e) = stop_on_signal(&options.stop) {
         return exit_with(&e.to_string());
@@ -75,7 +81,7 @@
     }
 }
 
-/// Sets the flag at SIGTERM or SIGINT, so that the cluster is dropped and leaves nothing behind.
+/// Sets the flag on SIGTERM or SIGINT, so that the run ends early and dropping the cluster kills all its processes.
 fn stop_on_signal(stop: &Arc<AtomicBool>) -> std::io::Result<()> {
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(stop))?;
--- a/crates/chicoryrail-testkit/src/bin/testkit-load.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-load.rs
@@ -1,4 +1,4 @@
-//! The load generator.
+//! Generates load on entry hosts and summarises the results.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use chicoryrail_testkit::LoadService;
 use chicoryrail_testkit::LoadSummary;
 
-fn service(
+fn service_flag(
     flag: &'static str,
     env: &'static str,
     help: &'static str,
@@ -37,12 +37,12 @@
         })
 }
 
-fn options() -> impl Parser<LoadOptions> {
+fn load_options() -> impl Parser<LoadOptions> {
     let hosts = long("host")
         .env("CHICORYRAIL_TESTKIT_HOST")
-        .help("Address of a host's listener for callers; may stand several times")
+        .help("Address of a host's listener for callers; may be given several times")
         .argument::<SocketAddr>("ADDR")
-        .some("name at least one --host")
+        .some("at least one --host is required")
         .map(|addrs| {
             let build = |callers| LoadHost {
                 callers,
@@ -50,93 +50,101 @@
             };
             addrs.into_iter().map(build).collect::<Vec<_>>()
         });
-    let name = long("name")
+    let host_name = long("name")
         .env("CHICORYRAIL_TESTKIT_NAME")
-        .help("Host that callers name")
+        .help("Value of the requests' Host header")
         .argument::<String>("NAME");
     let keyed = long("keyed")
         .env("CHICORYRAIL_TESTKIT_KEYED")
-        .help("Lookups carry a key that picks the server")
+        .help("Sends a key with each lookup, which selects the server")
         .switch();
-    let lookups = service(
+    let lookups = service_flag(
         "lookup",
         "CHICORYRAIL_TESTKIT_LOOKUP",
-        "Path prefix of a service that is looked up, 8 of 10 requests",
+        "Path prefix of a service for lookups, with weight 8; may be given several times",
         LoadKind::Lookup,
         8.0,
     );
-    let orders = service(
+    let orders = service_flag(
         "order",
         "CHICORYRAIL_TESTKIT_ORDER",
-        "Path prefix of a service that takes orders",
+        "Path prefix of a service for orders, with weight 1; may be given several times",
         LoadKind::Order,
         1.0,
     );
-    let reports = service(
+    let reports = service_flag(
         "report",
         "CHICORYRAIL_TESTKIT_REPORT",
-        "Path prefix of a service of reports",
+        "Path prefix of a service for reports, with weight 1; may be given several times",
         LoadKind::Report,
         1.0,
     );
-    let keys = number(
+    let keys = number_flag(
         "keys",
         "CHICORYRAIL_TESTKIT_KEYS",
-        "Keys of a service",
+        "Number of keys of each service",
         1_000,
     );
-    let body = number(
+    let body = number_flag(
         "body",
         "CHICORYRAIL_TESTKIT_BODY",
-        "Bytes of an answer",
+        "Size of a response body in bytes",
         200,
     );
-    let skew = float(
+    let skew = float_flag(
         "skew",
         "CHICORYRAIL_TESTKIT_SKEW",
-        "Zipf exponent of keys",
+        "Exponent of the Zipf distribution of keys; 0 for a uniform distribution",
         0.0,
     );
-    let services = construct!(lookups, orders, reports, keys, body, skew, name, keyed).map(
-        |(lookups, orders, reports, keys, body, skew, name, keyed)| {
+    let services = construct!(lookups, orders, reports, keys, body, skew, host_name, keyed).map(
+        |(lookups, orders, reports, keys, body, skew, host_name, keyed)| {
             let all = lookups.into_iter().chain(orders).chain(reports);
             all.map(|s| LoadService {
-                host: name.clone(),
+                host: host_name.clone(),
                 keyed: keyed && s.kind == LoadKind::Lookup,
                 ..s.with_keys(keys as u32, skew).with_body(body)
             })
             .collect::<Vec<_>>()
         },
     );
-    let services = services.guard(|s| !s.is_empty(), "name a --lookup, --order or --report");
-    let length = number(
+    let services = services.guard(
+        |s| !s.is_empty(),
+        "at least one --lookup, --order or --report is required",
+    );
+    let length = number_flag(
         "seconds",
         "CHICORYRAIL_TESTKIT_SECONDS",
-        "Length of the run",
+        "Duration of the run in seconds",
         5,
     )
     .map(|s| Millis(s * 1000));
     let rate = long("rate")
         .env("CHICORYRAIL_TESTKIT_RATE")
-        .help("Requests a second in an open loop; without it the loop is closed")
+        .help("Requests a second in an open loop; a closed loop runs if absent")
         .argument::<f64>("N")
         .guard(|r| *r > 0.0 && r.is_finite(), "must be above 0")
         .optional();
-    let callers = number(
+    let callers = number_flag(
         "callers",
         "CHICORYRAIL_TESTKIT_CALLERS",
-        "Callers in a closed loop",
+        "Number of callers in a closed loop",
         8,
     )
     .map(|n| n as u32);
-    let deadline = number(
+    let deadline = number_flag(
         "deadline-ms",
         "CHICORYRAIL_TESTKIT_DEADLINE_MS",
-        "Deadline of a request",
+        "Deadline of a request in milliseconds",
         1_000,
     )
     .map(Millis);
-    let seed = number("seed", "CHICORYRAIL_TESTKIT_SEED", "Seed of all draws", 1);
+    let seed = number_flag(
+        "seed",
+        "CHICORYRAIL_TESTKIT_SEED",
+        "Seed for all random choices",
+        1,
+    );
     construct!(LoadOptions {
         hosts,
         services,
@@ -148,7 +156,7 @@
     })
 }
 
-fn number(
+fn number_flag(
     flag: &'static str,
     env: &'static str,
     help: &'static str,
@@ -162,7 +170,7 @@
         .display_fallback()
 }
 
-fn float(
+fn float_flag(
     flag: &'static str,
     env: &'static str,
     help: &'static str,
@@ -176,7 +184,7 @@
         .display_fallback()
 }
 
-fn save(path: &PathBuf, records: &[CallRecord]) -> std::io::Result<()> {
+fn write_records(path: &PathBuf, records: &[CallRecord]) -> std::io::Result<()> {
     let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
     for record in records {
         serde_json::to_writer(&mut file, record)?;
@@ -188,21 +196,21 @@
 fn main() -> ExitCode {
     let records = long("records")
         .env("CHICORYRAIL_TESTKIT_RECORDS")
-        .help("File for a line of JSON for each request")
+        .help("File to which a line of JSON is written for each request")
         .argument::<PathBuf>("FILE")
         .optional();
-    let options = options();
+    let options = load_options();
     let (options, records) = construct!(options, records)
         .to_options()
-        .descr("Load generator; the last line is a summary in JSON")
+        .descr("Generates load; the last line is a summary in JSON")
         .run();
-    let done = block_on(Load::new(options).run());
+    let call_records = block_on(Load::new(options).run());
     if let Some(path) = records
-        && let Err(e) = save(&path, &done)
+        && let Err(e) = write_records(&path, &call_records)
     {
         return exit_with(&format!("--records: {e}"));
     }
-    let summary = LoadSummary::of(&done);
+    let summary = LoadSummary::of(&call_records);
     match serde_json::to_string(&summary) {
         Ok(text) => println!("{text}"),
         Err(e) => return exit_with(&e.to_string()),
--- a/crates/chicoryrail-testkit/src/bin/testkit-proxy.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-proxy.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting TCP proxy, for one link.
+//! Runs the fault-injecting TCP proxy for one link.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -19,8 +19,8 @@
 use http::Response;
 use hyper::body::Incoming;
 
-/// Largest body of a control call in bytes.
-const BODY_MOST: usize = 64 << 10;
+/// Maximum size of the body of a control request, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
 
 #[derive(Clone, Debug)]
 struct Settings {
@@ -40,21 +40,21 @@
     let listen = addr(
         "listen",
         "CHICORYRAIL_TESTKIT_LISTEN",
-        "IP address and port that callers use",
+        "IP address and port that callers connect to",
     );
     let upstream = addr(
         "upstream",
         "CHICORYRAIL_TESTKIT_UPSTREAM",
-        "IP address and port of the process behind the link",
+        "IP address and port of the process that the link forwards to",
     );
     let control = addr(
         "control",
         "CHICORYRAIL_TESTKIT_CONTROL",
-        "IP address and port for PUT /fault (JSON), DELETE /fault, POST /reset, GET /stats",
+        "IP address and port for control: PUT /fault (JSON), DELETE /fault, POST /reset, GET /stats",
     );
     let seed = long("seed")
         .env("CHICORYRAIL_TESTKIT_SEED")
-        .help("Seed of the jitter")
+        .help("Seed for random delays (jitter)")
         .argument::<u64>("N")
         .fallback(1)
         .display_fallback();
@@ -65,15 +65,15 @@
         seed
     })
     .to_options()
-    .descr("Fault-injecting TCP proxy for one link")
+    .descr("Runs a fault-injecting TCP proxy for one link")
     .run()
 }
 
-async fn answer(link: Link, request: Request<Incoming>) -> Response<Body> {
+async fn handle_control(link: Link, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     match (request.method().clone(), path.as_str()) {
         (Method::PUT, "/fault") => {
-            let body = collect(request.into_body(), BODY_MOST).await;
+            let body = collect(request.into_body(), MAX_BODY_BYTES).await;
             match serde_json::from_slice(&body.unwrap_or_default()) {
                 Ok(fault) => link.set(fault),
                 Err(e) => return error_answer(400, &format!("fault: {e}")),
@@ -82,7 +82,7 @@
         (Method::DELETE, "/fault") => link.heal(),
         (Method::POST, "/reset") => link.reset(),
         (Method::GET, "/stats") => return json_answer(200, &link.stats()),
-        _ => return error_answer(400, "the proxy has no such call"),
+        _ => return error_answer(400, "unknown control request"),
     }
     json_answer(200, &link.fault())
 }
@@ -100,7 +100,7 @@
     stand_in("control", settings.control, |listener, stop| {
         listener.serve(stop, move |request| {
             let link = link.clone();
-            async move { Ok(answer(link, request).await) }
+            async move { Ok(handle_control(link, request).await) }
         })
     })
 }
--- a/crates/chicoryrail-testkit/src/bin/testkit-store.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-store.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform's key-value service.
+//! Runs the stand-in for the platform's key-value store.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -13,21 +13,21 @@
 fn main() -> ExitCode {
     let listen = long("listen")
         .env("CHICORYRAIL_TESTKIT_LISTEN")
-        .help("IP address and port to listen on; port 0 lets the system choose")
+        .help("IP address and port to listen on; with port 0 the system selects a free port")
         .argument::<SocketAddr>("ADDR");
     let writes = long("writes-per-second")
         .env("CHICORYRAIL_TESTKIT_WRITES")
-        .help("Writes a second that pass; the rest gets status 429")
+        .help("Maximum writes per second; the rest gets status 429; no limit if absent")
         .argument::<u32>("N")
         .optional();
     let reads = long("reads-per-second")
         .env("CHICORYRAIL_TESTKIT_READS")
-        .help("Reads a second that pass; the rest gets status 429")
+        .help("Maximum reads per second; the rest gets status 429; no limit if absent")
         .argument::<u32>("N")
         .optional();
     let seed = long("seed")
         .env("CHICORYRAIL_TESTKIT_SEED")
-        .help("Seed of the faults that strike a share of the calls")
+        .help("Seed for faults that affect a fraction of the requests")
         .argument::<u64>("N")
         .fallback(1)
         .display_fallback();
@@ -38,7 +38,7 @@
     });
     let (listen, options) = construct!(listen, options)
         .to_options()
-        .descr("Stand-in of the platform's key-value service")
+        .descr("Runs a stand-in for the platform's key-value store")
         .run();
     stand_in("listen", listen, |listener, stop| {
         StoreServer::new(options).serve(listener, stop)
--- a/crates/chicoryrail-testkit/src/bin/testkit-target.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-target.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a target (server).
+//! Runs the stand-in for a target (server).
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 use chicoryrail_testkit::TargetServer;
 use chicoryrail_testkit::stand_in;
 
-fn options() -> impl Parser<TargetOptions> {
+fn target_options() -> impl Parser<TargetOptions> {
     let name = long("name")
         .env("CHICORYRAIL_TESTKIT_NAME")
         .help("Name of the server")
@@ -26,71 +26,71 @@
         );
     let service = long("service")
         .env("CHICORYRAIL_TESTKIT_SERVICE")
-        .help("Service that it belongs to")
+        .help("Name of the service that the server belongs to")
         .argument::<ServiceName>("NAME")
         .fallback("service".into());
     let dc = long("data-centre")
         .env("CHICORYRAIL_TESTKIT_DATA_CENTRE")
-        .help("Data centre that it stands in")
+        .help("Name of the data centre that the server runs in")
         .argument::<DcName>("NAME")
         .fallback("west".into());
     let slots = long("slots")
         .env("CHICORYRAIL_TESTKIT_SLOTS")
-        .help("Requests that run at the same time")
+        .help("Maximum number of requests that run concurrently")
         .argument::<u32>("N")
         .fallback(2)
         .display_fallback();
     let queue = long("queue")
         .env("CHICORYRAIL_TESTKIT_QUEUE")
-        .help("Requests that wait for a slot; one more is shed")
+        .help("Maximum number of requests that wait for a slot; further requests are refused")
         .argument::<u32>("N")
         .fallback(8)
         .display_fallback();
     let connections = long("connections")
         .env("CHICORYRAIL_TESTKIT_CONNECTIONS")
-        .help("Connections accepted at a time")
+        .help("Maximum number of open connections")
         .argument::<u32>("N")
         .fallback(120)
         .display_fallback();
     let keyed = long("keyed")
         .env("CHICORYRAIL_TESTKIT_KEYED")
-        .help("The server holds keys")
+        .help("Serves keyed requests: each must name a key that the server owns")
         .switch();
     let service_us = long("service-us")
         .env("CHICORYRAIL_TESTKIT_SERVICE_US")
-        .help("Service time in microseconds")
+        .help("Service time of a request in microseconds")
         .argument::<u64>("N")
         .fallback(0)
         .display_fallback();
-    let cold_ms = millis(
+    let cold_ms = millis_flag(
         "cold-ms",
         "CHICORYRAIL_TESTKIT_COLD_MS",
-        "Length of a cold start",
+        "Length of the warm-up after a start, in milliseconds",
         0,
     );
     let cold_bears = long("cold-bears")
         .env("CHICORYRAIL_TESTKIT_COLD_BEARS")
-        .help("Requests that it bears in any second while it is cold")
+        .help("Requests allowed in any second of the warm-up; more are recorded as an overrun")
         .argument::<u32>("N")
         .fallback(u32::MAX);
     let store = long("store")
         .env("CHICORYRAIL_TESTKIT_STORE")
-        .help("Store in which it registers")
+        .help("Address of the store in which the server registers; not registered if absent")
         .argument::<SocketAddr>("ADDR")
         .optional();
     let shown = long("shown")
         .env("CHICORYRAIL_TESTKIT_SHOWN")
-        .help("Address that it registers, its own otherwise")
+        .help("Address to register in the store; the listening address if absent")
         .argument::<SocketAddr>("ADDR")
         .optional();
     let ledger = long("ledger")
         .env("CHICORYRAIL_TESTKIT_LEDGER")
-        .help("File that every run is written to")
+        .help("File to which every executed request is written")
         .argument::<PathBuf>("FILE")
         .optional();
     let seed = long("seed")
         .env("CHICORYRAIL_TESTKIT_SEED")
-        .help("Seed of the faults that strike a share of the answers")
+        .help("Seed for faults that affect a fraction of the responses")
         .argument::<u64>("N")
         .fallback(1)
         .display_fallback();
@@ -112,7 +112,7 @@
     })
 }
 
-fn millis(
+fn millis_flag(
     flag: &'static str,
     env: &'static str,
     help: &'static str,
@@ -130,12 +130,12 @@
 fn main() -> ExitCode {
     let listen = long("listen")
         .env("CHICORYRAIL_TESTKIT_LISTEN")
-        .help("IP address and port to listen on; port 0 lets the system choose")
+        .help("IP address and port to listen on; with port 0 the system selects a free port")
         .argument::<SocketAddr>("ADDR");
-    let options = options();
+    let options = target_options();
     let (listen, options) = construct!(listen, options)
         .to_options()
-        .descr("Stand-in of a target (server)")
+        .descr("Runs a stand-in for a target (server)")
         .run();
     stand_in("listen", listen, |listener, stop| async {
         if let Err(e) = TargetServer::serve(options, listener, stop).await {
