--- a/crates/chicoryrail-testkit/src/bin/testkit-proxy.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-proxy.rs
@@ -50,7 +50,7 @@
     let control = addr(
         "control",
         "CHICORYRAIL_TESTKIT_CONTROL",
-        "IP address and port for control: PUT /fault (JSON), DELETE /fault, POST /reset, GET /stats",
+        "IP address and port for PUT /fault (JSON), DELETE /fault, POST /reset, GET /stats",
     );
     let seed = long("seed")
         .env("CHICORYRAIL_TESTKIT_SEED")
--- a/crates/chicoryrail-testkit/src/cluster/harness.rs
+++ b/crates/chicoryrail-testkit/src/cluster/harness.rs
@@ -105,7 +105,7 @@
         self.store
     }
 
-    /// Returns the proxied links; `None` if processes connect to each other directly.
+    /// Returns the proxied links; `None` if hosts connect to the store and the targets directly.
     #[must_use]
     pub const fn links(&self) -> Option<&Links> {
         self.links.as_ref()
--- a/crates/chicoryrail-testkit/src/cluster/options.rs
+++ b/crates/chicoryrail-testkit/src/cluster/options.rs
@@ -27,7 +27,7 @@
     pub reads_per_s: Option<u32>,
     /// Seed of the random faults of the stand-ins and the proxied links.
     pub seed: u64,
-    /// Whether connections to the store and the targets pass through a fault-injecting proxy.
+    /// Whether hosts connect to the store and the targets through fault-injecting proxies.
     pub proxied: bool,
     /// Additional command-line flags of every router.
     pub router_flags: Vec<String>,
@@ -69,7 +69,7 @@
         self
     }
 
-    /// Routes connections to the store and the targets through a fault-injecting proxy.
+    /// Makes hosts connect to the store and the targets through fault-injecting proxies.
     #[must_use]
     pub fn with_proxy(mut self) -> Self {
         self.proxied = true;
--- a/crates/chicoryrail-testkit/src/cluster/process.rs
+++ b/crates/chicoryrail-testkit/src/cluster/process.rs
@@ -113,7 +113,7 @@
         None
     }
 
-    /// Returns an error if the process has exited.
+    /// Returns an error if the process has exited or was not started.
     pub(crate) fn ensure_running(&mut self) -> Result<(), ClusterError> {
         if self.is_running() {
             return Ok(());
