--- a/crates/chicoryrail-ownership/src/reach.rs
+++ b/crates/chicoryrail-ownership/src/reach.rs
@@ -8,53 +8,53 @@
 
 use crate::Peers;
 
-/// Maximum age of a server's last answer for its data centre to count as reached. Hosts of a usual size get
-/// an answer from each data centre several times within it.
-const ANSWER_AGE_MAX: Millis = Millis(600);
+/// Maximum age of a server's last response for its data centre to count as reached. Hosts of a usual size get
+/// a response from each data centre several times within it.
+const RESPONSE_AGE_MAX: Millis = Millis(600);
 
-/// Time for which all servers of a data centre must have been silent to the leader. Another host's last
-/// heartbeat may report answers from before a loss (up to 600 ms old, with 400 ms until its next
+/// Time for which all servers of a data centre must have left the leader's calls unanswered. Another host's last
+/// heartbeat may report responses from before a loss (up to 600 ms old, with 400 ms until its next
 /// heartbeat). A longer time avoids mistaking a lost data centre for one that only this host can't reach.
-const SILENCE_MIN: Millis = Millis(1_000);
+const UNANSWERED_TIME_MIN: Millis = Millis(1_000);
 
-/// Minimum number of silent servers from which a data centre counts as silent; a single one may be faulty
-/// itself.
-const SILENT_SERVERS_MIN: usize = 2;
+/// Minimum number of servers that do not respond from which a data centre counts as unreachable; a single one
+/// may be faulty itself.
+const UNANSWERED_SERVERS_MIN: usize = 2;
 
-/// Time of the last answer from each data centre.
+/// Time of the last response from each data centre.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
-    last_answers: BTreeMap<DcName, Millis>,
+pub struct DcReachability {
+    last_responses: BTreeMap<DcName, Millis>,
 }
 
-impl Reach {
-    /// Records an answer from a server in `dc`.
-    pub fn answered(&mut self, now: Millis, dc: &DcName) {
-        match self.last_answers.get_mut(dc) {
+impl DcReachability {
+    /// Records a response from a server in `dc`.
+    pub fn record_response(&mut self, now: Millis, dc: &DcName) {
+        match self.last_responses.get_mut(dc) {
             Some(last) => *last = now,
             None => {
-                self.last_answers.insert(dc.clone(), now);
+                self.last_responses.insert(dc.clone(), now);
             }
         }
     }
 
-    /// Returns the data centres that answered within the last 600 ms.
+    /// Returns the data centres that responded within the last 600 ms.
     #[must_use]
-    pub fn lately(&self, now: Millis) -> BTreeSet<DcName> {
-        let recent = self.last_answers.iter();
-        let recent = recent.filter(|(_, at)| now.since(**at) <= ANSWER_AGE_MAX);
+    pub fn reachable_dcs(&self, now: Millis) -> BTreeSet<DcName> {
+        let recent = self.last_responses.iter();
+        let recent = recent.filter(|(_, at)| now.since(**at) <= RESPONSE_AGE_MAX);
         recent.map(|(dc, _)| dc.clone()).collect()
     }
 
     /// Returns a data centre that this leader can't reach but another host can, if that host also reaches
     /// all others that this one reaches. That host should lead.
     ///
-    /// `servers` are the servers with keys: the data centre of each, and since when it has been silent.
+    /// `servers` are the servers with keys: the data centre of each, and since when it has not responded.
     /// Packets between two data centres may pass in one direction only. A leader in one of them would
     /// consider the other's servers lost and reassign their keys, although callers elsewhere can reach
     /// them.
     #[must_use]
-    pub fn out_of_reach<'a>(
+    pub fn find_unreachable_dc<'a>(
         &self,
         now: Millis,
         servers: impl Iterator<Item = (&'a DcName, Option<Millis>)>,
@@ -62,14 +62,14 @@
     ) -> Option<DcName> {
         let mut by_dc: BTreeMap<&DcName, (usize, bool)> = BTreeMap::new();
         for (dc, since) in servers {
-            let (count, all_silent) = by_dc.entry(dc).or_insert((0, true));
+            let (count, all_unanswered) = by_dc.entry(dc).or_insert((0, true));
             *count += 1;
-            *all_silent &= since.is_some_and(|at| now.since(at) >= SILENCE_MIN);
+            *all_unanswered &= since.is_some_and(|at| now.since(at) >= UNANSWERED_TIME_MIN);
         }
-        let reached = self.lately(now);
-        let lost = by_dc
-            .into_iter()
-            .filter(|(_, (count, all_silent))| *all_silent && *count >= SILENT_SERVERS_MIN);
+        let reached = self.reachable_dcs(now);
+        let lost = by_dc.into_iter().filter(|(_, (count, all_unanswered))| {
+            *all_unanswered && *count >= UNANSWERED_SERVERS_MIN
+        });
         let mut lost = lost.map(|(dc, _)| dc).filter(|dc| !reached.contains(*dc));
         lost.find(|dc| peers.any_reaches_all(now, &reached, dc))
             .cloned()
--- a/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
@@ -24,17 +24,17 @@
 use crate::control::config_feed::relay::POLL_MAX;
 use crate::control::config_feed::relay::RELAY_PATH;
 use crate::control::scheduling;
+use crate::messages::ConfigAge;
+use crate::messages::DecompressionError;
+use crate::messages::ENCODING;
+use crate::messages::KeyFence;
+use crate::messages::RelayReply;
+use crate::messages::RelayRequest;
+use crate::messages::decode;
+use crate::messages::decompress;
+use crate::messages::encode;
 use crate::state::Router;
 use crate::state::Source;
-use crate::talk::ConfigAge;
-use crate::talk::DecompressionError;
-use crate::talk::ENCODING;
-use crate::talk::KeyFence;
-use crate::talk::RelayReply;
-use crate::talk::RelayRequest;
-use crate::talk::decode;
-use crate::talk::decompress;
-use crate::talk::encode;
 
 /// Time beyond the relay's longest wait after which it counts as lost, and longest pause within an arriving reply. A
 /// busy host with a tenth of a core replies within it. If a watcher and then a relay are lost, both are detected soon
@@ -77,7 +77,7 @@
                 router.process.clock.sleep(RELAY_RETRY_INTERVAL).await;
                 let boot = router.boot();
                 let peers = router.peers.borrow();
-                peers.core_for(router.now(), &boot.host, &boot.dc)
+                peers.select_core_host(router.now(), &boot.host, &boot.dc)
             }
             Source::Store | Source::Unknown => None,
         };
@@ -92,7 +92,7 @@
         let sent = router.now();
         match poll(&router, &client, addr).await {
             Ok(reply) => {
-                router.source.replied.set(router.now());
+                router.source.last_reply.set(router.now());
                 let config_age = reply.config;
                 apply_reply(&router, reply);
                 if let Some(age) = config_age {
@@ -101,10 +101,13 @@
             }
             Err(e) => {
                 log::info!(relay:% = addr, error:% = e; "relay_failed");
-                router.peers.borrow_mut().relay_failed(router.now(), addr);
+                router
+                    .peers
+                    .borrow_mut()
+                    .record_relay_failure(router.now(), addr);
             }
         }
-        // After a failure, `choose_source` selects another relay during this pause.
+        // After a failure, `select_source` selects another relay during this pause.
         router.process.clock.sleep(POLL_PAUSE).await;
     }
 }
@@ -127,7 +130,7 @@
         further: REPLY_SLACK,
     };
     // A reply that is still arriving counts as one, so that a leaf host does not turn to the store meanwhile.
-    let arrived = || router.source.replied.set(router.now());
+    let arrived = || router.source.last_reply.set(router.now());
     let sent = router.now();
     let response = client.call_while_arriving(addr, request, wait, arrived);
     let response = response.await.context(CallSnafu)?;
@@ -162,7 +165,7 @@
         host: router.boot().host.clone(),
         leaf: !router.source.core.get(),
         store: router.store_up.get(),
-        revisions: FEEDS.map(|feed| view.heard(feed)),
+        revisions: FEEDS.map(|feed| view.read_revision(feed)),
         fences: fences.collect(),
     }
 }
@@ -185,16 +188,16 @@
     }
     for map in reply.keys {
         let service = router.service(&map.service);
-        router.key_record(&service, map.ranges.to_record(map.fence));
+        router.apply_key_record(&service, map.ranges.to_record(map.fence));
         scheduling::redirect_moved_keys(router, &service);
     }
     let mut peers = router.peers.borrow_mut();
-    peers.count(reply.hosts as usize);
-    if peers.term(reply.term, reply.leader.as_ref()) {
+    peers.update_max_hosts(reply.hosts as usize);
+    if peers.observe_term(reply.term, reply.leader.as_ref()) {
         log::info!(term = reply.term; "term_relayed");
     }
     if let Some(age) = reply.leader_ms {
-        peers.heard_leader(Millis(now.0.saturating_sub(age)));
+        peers.record_leader_seen(Millis(now.0.saturating_sub(age)));
     }
 }
 
@@ -204,7 +207,7 @@
     let written_at = sent + Millis(age.held_ms);
     let current_at = written_at.0.checked_sub(age.age_ms);
     if let Some(at) = current_at {
-        router.organisations.prove_current(Millis(at));
+        router.organisations.mark_current(Millis(at));
     }
 }
 
@@ -214,7 +217,7 @@
     let now = router.now();
     if let Some(age) = back {
         let at = Millis(now.0.saturating_sub(age.0));
-        router.view.borrow_mut().store_back(at);
+        router.view.borrow_mut().record_recovery(at);
     }
     if !router.source.core.get() && router.store_up.get() != up {
         router.store_up.set(up);
@@ -231,13 +234,13 @@
     let mut peers = router.peers.borrow_mut();
     for core in &reply.core {
         let state = HostState {
-            store: core.store,
+            store_reachable: core.store,
             power: core.power,
             schedules: core.schedules,
             dc: core.dc.clone(),
             watches: core.watches,
             ..HostState::default()
         };
-        peers.heard(now, &core.host, core.addr, state);
+        peers.record_heartbeat(now, &core.host, core.addr, state);
     }
 }
--- a/crates/chicoryrail-router/src/control/scheduling/overflow.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/overflow.rs
@@ -9,18 +9,18 @@
 use crate::control::scheduling::part_schedulers::remove_query;
 use crate::control::scheduling::part_schedulers::reply_to;
 use crate::control::scheduling::part_schedulers::sync_servers;
+use crate::messages::PartName;
+use crate::messages::PartRoom;
+use crate::messages::SlotQuery;
+use crate::messages::SlotReply;
 use crate::state::Router;
-use crate::talk::PartName;
-use crate::talk::PartRoom;
-use crate::talk::SlotQuery;
-use crate::talk::SlotReply;
 
 /// Returns `true` if a part has a free slot beyond those for waiting requests. The scheduler's servers must be up to
 /// date.
 pub(super) fn has_free_slot(router: &Router, part: &PartName) -> bool {
     let schedulers = router.schedulers.by_part.borrow();
     // The new request is already among the waiting ones.
-    let free = |s: &Scheduler| s.free(router.now()) >= s.waiting();
+    let free = |s: &Scheduler| s.free_slots(router.now()) >= s.queue_length();
     schedulers.get(part).is_some_and(free)
 }
 
@@ -33,7 +33,7 @@
     query: &SlotQuery,
     from: Option<SocketAddr>,
 ) -> bool {
-    let Some(dc) = router.schedulers.take_room(router.now(), &query.part) else {
+    let Some(dc) = router.schedulers.take_free_slot(router.now(), &query.part) else {
         return false;
     };
     remove_query(router, &query.part, query.ticket);
@@ -52,7 +52,9 @@
         for part in own_parts {
             let scheduler = schedulers.entry(part.clone()).or_default();
             sync_servers(router, &service, &part, scheduler, now);
-            let free = scheduler.free(now).saturating_sub(scheduler.waiting());
+            let free = scheduler
+                .free_slots(now)
+                .saturating_sub(scheduler.queue_length());
             let free = free as u32;
             free_slots.push(PartRoom { part, free });
         }
--- a/crates/chicoryrail-router/src/lib.rs
+++ b/crates/chicoryrail-router/src/lib.rs
@@ -13,16 +13,16 @@
 //! ```
 //!
 //! [`run`] is the entry point of the process. The modules of `route/` serve requests, those of `state/` hold the shared
-//! state, those of `talk/` define the messages between hosts, and those of `control/` communicate with the store, the
-//! other hosts and the servers' control endpoints.
+//! state, those of `messages/` define the messages between hosts, and those of `control/` communicate with the store,
+//! the other hosts and the servers' control endpoints.
 
 mod control;
 mod log_line;
+mod messages;
 mod options;
 mod route;
 mod run;
 mod state;
-mod talk;
 
 pub use options::Options;
 pub use options::options;
--- a/crates/chicoryrail-router/src/talk/packet.rs
+++ b/crates/chicoryrail-router/src/messages/packet.rs
@@ -12,12 +12,12 @@
 use chicoryrail_ownership::keys::KeyRange;
 use chicoryrail_ownership::keys::KeyRecord;
 use chicoryrail_ownership::keys::OwnedRange;
-use chicoryrail_policy::RateNotice;
+use chicoryrail_policy::AdvertisedRate;
 
-use crate::talk::PartName;
-use crate::talk::PartRoom;
-use crate::talk::QuotaGrants;
-use crate::talk::QuotaReports;
+use crate::messages::PartName;
+use crate::messages::PartRoom;
+use crate::messages::QuotaGrants;
+use crate::messages::QuotaReports;
 
 /// A datagram between hosts.
 #[derive(Clone, Debug, Encode, Decode)]
@@ -28,7 +28,7 @@
     Paces(Vec<ServerPace>),
     /// Keys of recent requests, for the leader.
     KeyDemand(Vec<KeyDemand>),
-    /// Asks a scheduler for a slot at a server.
+    /// Queries a scheduler for a slot at a server.
     SlotQuery(SlotQuery),
     /// Decision of a scheduler on a slot query.
     SlotReply { ticket: u64, reply: SlotReply },
@@ -197,7 +197,7 @@
     Limited(f64),
 }
 
-impl From<SaidRate> for RateNotice {
+impl From<SaidRate> for AdvertisedRate {
     fn from(rate: SaidRate) -> Self {
         match rate {
             SaidRate::Unlimited => Self::Unlimited,
@@ -206,11 +206,11 @@
     }
 }
 
-impl From<RateNotice> for SaidRate {
-    fn from(notice: RateNotice) -> Self {
-        match notice {
-            RateNotice::Unlimited => Self::Unlimited,
-            RateNotice::Limited(rate) => Self::Limited(rate),
+impl From<AdvertisedRate> for SaidRate {
+    fn from(rate: AdvertisedRate) -> Self {
+        match rate {
+            AdvertisedRate::Unlimited => Self::Unlimited,
+            AdvertisedRate::Limited(rate) => Self::Limited(rate),
         }
     }
 }
--- a/crates/chicoryrail-router/src/route/slot_guard.rs
+++ b/crates/chicoryrail-router/src/route/slot_guard.rs
@@ -6,25 +6,25 @@
 
 use chicoryrail_core::Life;
 use chicoryrail_ownership::SchedulerHost;
+use chicoryrail_policy::AdvertisedRate;
 use chicoryrail_policy::Failure;
 use chicoryrail_policy::LoadReport;
-use chicoryrail_policy::RateNotice;
 
 use crate::control::scheduling;
+use crate::messages::Packet;
+use crate::messages::PartName;
+use crate::messages::SaidRate;
+use crate::messages::SlotEnd;
+use crate::messages::SlotEndKind;
 use crate::state::Router;
 use crate::state::Service;
 use crate::state::Target;
-use crate::talk::Packet;
-use crate::talk::PartName;
-use crate::talk::SaidRate;
-use crate::talk::SlotEnd;
-use crate::talk::SlotEndKind;
 
 /// Sends a packet to the scheduler, or handles it directly if this host is the scheduler.
 pub(super) fn send_to_scheduler(router: &Rc<Router>, scheduler: SchedulerHost, packet: Packet) {
     match scheduler {
         SchedulerHost::Here => scheduling::handle_packet(router, &packet, None),
-        SchedulerHost::At(addr) => router.talk.post(packet, addr),
+        SchedulerHost::At(addr) => router.peer_socket.send_detached(packet, addr),
     }
 }
 
@@ -40,7 +40,7 @@
     elapsed_us: Cell<Option<u64>>,
     kind: Cell<SlotEndKind>,
     report: RefCell<Option<LoadReport>>,
-    rate: Cell<Option<RateNotice>>,
+    rate: Cell<Option<AdvertisedRate>>,
 }
 
 impl SlotGuard {
@@ -70,7 +70,7 @@
         service: &Service,
         target: &Target,
     ) -> Self {
-        let part = service.part_in(&target.dc);
+        let part = service.part_of(&target.dc);
         let scheduler = router.target_scheduler(service, target);
         Self::new(router, &part, scheduler, 0, &target.life)
     }
@@ -81,8 +81,8 @@
     }
 
     /// Records the rate limit that the server advertised.
-    pub(crate) fn record_rate(&self, notice: RateNotice) {
-        self.rate.set(Some(notice));
+    pub(crate) fn record_rate(&self, advertised: AdvertisedRate) {
+        self.rate.set(Some(advertised));
     }
 
     /// Records how the send ended, after `elapsed_us` microseconds.
@@ -103,7 +103,7 @@
         let report = self
             .report
             .borrow()
-            .map(|r| (r.running, r.waiting, r.slots, r.pace));
+            .map(|r| (r.running, r.waiting, r.slots, r.slowdown_percent));
         let end = SlotEnd {
             part: self.part.clone(),
             ticket: self.ticket,
--- a/crates/chicoryrail-router/src/state/target.rs
+++ b/crates/chicoryrail-router/src/state/target.rs
@@ -7,10 +7,10 @@
 use chicoryrail_core::DcName;
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
-use chicoryrail_policy::ColdPace;
-use chicoryrail_policy::RateNotice;
+use chicoryrail_policy::AdvertisedLimit;
+use chicoryrail_policy::AdvertisedRate;
 use chicoryrail_policy::ServerId;
-use chicoryrail_policy::ServerLimit;
+use chicoryrail_policy::WarmupPacer;
 use chicoryrail_runtime::ServerPool;
 use http::HeaderValue;
 
@@ -37,21 +37,21 @@
     pub(crate) addr: SocketAddr,
     pub(crate) dc: DcName,
     /// When this host first learned of this incarnation at this address.
-    pub(crate) known: Millis,
+    pub(crate) first_seen: Millis,
     /// Value of the request header that names the expected server.
-    pub(crate) header: HeaderValue,
+    pub(crate) expect_header: HeaderValue,
     pub(crate) pool: ServerPool,
     /// Pacing of requests while the server warms up.
-    pub(crate) cold: RefCell<ColdPace>,
+    pub(crate) warmup: RefCell<WarmupPacer>,
     /// End of the warm-up, as far as is known.
-    pub(crate) cold_until: Cell<Millis>,
+    pub(crate) warmup_until: Cell<Millis>,
     /// Rate limit that the server's responses advertise.
-    pub(crate) limit: Cell<ServerLimit>,
+    pub(crate) limit: Cell<AdvertisedLimit>,
     /// Maximum number of concurrent requests.
     pub(crate) slots: Cell<u32>,
     pub(crate) admission: Cell<Admission>,
     /// Whether this host schedules the requests for the server; `None` until that is determined.
-    pub(crate) ours: Cell<Option<bool>>,
+    pub(crate) scheduled_here: Cell<Option<bool>>,
 }
 
 impl Target {
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether the server may receive new requests now; a draining server may until its end time.
-    pub(crate) fn may_get(&self, now: Millis) -> bool {
+    pub(crate) fn accepts_requests(&self, now: Millis) -> bool {
         match self.admission.get() {
             Admission::Open => true,
             Admission::Draining(end) => now < end,
@@ -70,14 +70,14 @@
     }
 
     /// Returns whether the server is warming up.
-    pub(crate) fn is_cold(&self, now: Millis) -> bool {
-        now < self.cold_until.get()
+    pub(crate) fn is_warming_up(&self, now: Millis) -> bool {
+        now < self.warmup_until.get()
     }
 
     /// Records the rate limit that a response advertised, and logs it if it changed.
-    pub(crate) fn hear_limit(&self, now: Millis, notice: RateNotice) {
+    pub(crate) fn record_rate_limit(&self, now: Millis, advertised: AdvertisedRate) {
         let mut limit = self.limit.get();
-        if limit.heard(now, notice) {
+        if limit.record(now, advertised) {
             let from = self.limit.get().rate(now);
             log::info!(server:% = self.life, from:? = from, to:? = limit.rate(now); "server_limit");
         }
@@ -85,9 +85,10 @@
     }
 
     /// Extends the warm-up to `left` from now; it is never shortened.
-    pub(crate) fn cold_for(&self, now: Millis, left: Millis) {
+    pub(crate) fn extend_warmup(&self, now: Millis, left: Millis) {
         if left > Millis::ZERO {
-            self.cold_until.set(self.cold_until.get().max(now + left));
+            self.warmup_until
+                .set(self.warmup_until.get().max(now + left));
         }
     }
 }
--- a/crates/chicoryrail-router/tests/slow_links.rs
+++ b/crates/chicoryrail-router/tests/slow_links.rs
@@ -34,8 +34,8 @@
 
 async fn wait_until_serving(router: &RouterProcess) {
     wait_until("the configuration is in force", async || {
-        let answer = router.caller().get("/read/1").await;
-        answer.is_ok_and(|a| a.status() == 200)
+        let response = router.caller().get("/read/1").await;
+        response.is_ok_and(|a| a.status() == 200)
     })
     .await;
 }
@@ -50,7 +50,7 @@
         world.server("i-1", "desk").await;
         let mut net = Net::start(1);
         let link = slow_link(&mut net, world.store_addr(), STORE_LINK_RATE);
-        let host = world.spawn_weak_at("a", link.addr());
+        let host = world.spawn_low_power_at("a", link.addr());
         wait_until_serving(&host).await;
         assert!(!host.log().contains("log=store_lost"), "{}", host.log());
     });
@@ -73,7 +73,7 @@
         let mut net = Net::start(1);
         let mut links = Vec::new();
         for (name, host) in ["a", "b", "c"].into_iter().zip(&core) {
-            let link = slow_link(&mut net, host.talk, RELAY_LINK_RATE);
+            let link = slow_link(&mut net, host.peer_addr, RELAY_LINK_RATE);
             let listed = CoreHost {
                 addr: link.addr(),
                 power: 500,
@@ -83,7 +83,7 @@
                 .put_own(&host_key(&name.into()), &listed.to_value())
                 .await;
         }
-        let leaf = world.spawn_weak_at("leaf", lists.store_addr());
+        let leaf = world.spawn_low_power_at("leaf", lists.store_addr());
         wait_until_serving(&leaf).await;
         let log = leaf.log();
         assert!(!log.contains("log=relay_failed"), "{log}");
--- a/crates/chicoryrail-router/tests/support/world.rs
+++ b/crates/chicoryrail-router/tests/support/world.rs
@@ -180,14 +180,14 @@
     }
 
     /// Returns the number of watches that the store has opened so far.
-    pub async fn watches(&self) -> u64 {
+    pub async fn watch_requests(&self) -> u64 {
         let request = Request::get("/testkit/stats").body(Bytes::new()).unwrap();
         let client = HttpClient::default();
-        let answer = client
+        let response = client
             .call(self.store_addr, request, WAIT_TIMEOUT)
             .await
             .unwrap();
-        let stats: StoreStats = serde_json::from_slice(answer.body()).unwrap();
+        let stats: StoreStats = serde_json::from_slice(response.body()).unwrap();
         stats.watches
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// Makes the store send no watch events for `time`, then drop its history and close all watches.
-    pub async fn deafen(&self, time: Millis) {
+    pub async fn stall_watches(&self, time: Millis) {
         let path = format!("/testkit/deafen?for_ms={}", time.0);
         let request = Request::put(path).body(Bytes::new()).unwrap();
         let client = HttpClient::default();
@@ -227,14 +227,14 @@
     }
 
     /// Starts a router process on a host with a small CPU share, and waits until it is ready for callers.
-    pub async fn weak_router(&self, name: &str) -> RouterProcess {
+    pub async fn low_power_router(&self, name: &str) -> RouterProcess {
         let router = self.spawn_on(name, LOW_CPU_SHARE);
         wait_until("the router is ready", async || router.is_ready().await).await;
         router
     }
 
     /// Starts a router process on a host with a small CPU share that reaches the store at `store`.
-    pub fn spawn_weak_at(&self, name: &str, store: SocketAddr) -> RouterProcess {
+    pub fn spawn_low_power_at(&self, name: &str, store: SocketAddr) -> RouterProcess {
         self.spawn_at(name, LOW_CPU_SHARE, store)
     }
 
@@ -244,15 +244,15 @@
     }
 
     fn spawn_at(&self, name: &str, core: &str, store: SocketAddr) -> RouterProcess {
-        let [callers, readiness, talk] = [(); 3].map(|()| free_port().unwrap());
+        let [callers, readiness, peer_addr] = [(); 3].map(|()| free_port().unwrap());
         let boot = self.dir.join(format!("{name}.toml"));
         let text = include_str!("boot.toml")
             .replace("NAME", name)
             .replace("CORE", core)
             .replace("CALLERS", &callers.to_string())
             .replace("READINESS", &readiness.to_string())
-            .replace("TALK", &talk.port().to_string())
-            .replace("HOST", &talk.ip().to_string())
+            .replace("TALK", &peer_addr.port().to_string())
+            .replace("HOST", &peer_addr.ip().to_string())
             .replace("STORE", &store.to_string());
         std::fs::write(&boot, text).unwrap();
         let log = std::fs::File::create(self.dir.join(format!("{name}.log"))).unwrap();
@@ -267,7 +267,7 @@
         RouterProcess {
             callers,
             readiness,
-            talk,
+            peer_addr,
             child,
             log: self.dir.join(format!("{name}.log")),
             next: Cell::new(0),
@@ -280,7 +280,7 @@
 pub struct RouterProcess {
     pub callers: SocketAddr,
     pub readiness: SocketAddr,
-    pub talk: SocketAddr,
+    pub peer_addr: SocketAddr,
     child: Child,
     log: PathBuf,
     next: Cell<u32>,
@@ -293,7 +293,7 @@
     }
 
     /// Returns the exit code if the process has ended; -1 if a signal ended it.
-    pub fn ended(&mut self) -> Option<i32> {
+    pub fn exit_code(&mut self) -> Option<i32> {
         let status = self.child.try_wait().unwrap()?;
         Some(status.code().unwrap_or(-1))
     }
@@ -301,8 +301,8 @@
     pub async fn is_ready(&self) -> bool {
         let request = Request::get("/-/readyz").body(Bytes::new()).unwrap();
         let client = HttpClient::default();
-        let answer = client.call(self.readiness, request, WAIT_TIMEOUT).await;
-        answer.is_ok_and(|a| a.status() == 200)
+        let response = client.call(self.readiness, request, WAIT_TIMEOUT).await;
+        response.is_ok_and(|a| a.status() == 200)
     }
 
     /// Returns the process id.
@@ -388,7 +388,7 @@
     }
 
     /// Sends a request and disconnects if there is no response within `timeout`.
-    pub async fn leaves(&self, path: &str, timeout: Millis) {
+    pub async fn cancel_after(&self, path: &str, timeout: Millis) {
         let request = Request::get(path)
             .header("host", "shop.example")
             .header(call_header::REQUEST_ID, format!("{}-left", self.name))
