--- a/crates/chicoryctl/src/change.rs
+++ b/crates/chicoryctl/src/change.rs
@@ -93,7 +93,7 @@
 pub(crate) async fn stored_file(store: &KvStore) -> Result<SiteFile, CtlError> {
     let (entry, _) = read_stored(store).await?;
     let entry = entry.ok_or(CtlError::NoConfig)?;
-    Ok(SiteFile::of(&entry.site))
+    Ok(SiteFile::from_site(&entry.site))
 }
 
 /// Changes the stored configuration and stores the result as the next version; returns that version.
@@ -107,7 +107,7 @@
         if let Some(source) = before.unknown.into_iter().next() {
             return Err(CtlError::Entry { source });
         }
-        let mut file = SiteFile::of(&before.site);
+        let mut file = SiteFile::from_site(&before.site);
         change(&mut file)?;
         file.build(before.site.version + 1).context(UnusableSnafu)
     };
@@ -119,7 +119,7 @@
     let (entry, _) = read_stored(store).await?;
     match entry {
         Some(ConfigEntry { site, .. }) => {
-            let text = toml::to_string(&SiteFile::of(&site)).context(ShowSnafu)?;
+            let text = toml::to_string(&SiteFile::from_site(&site)).context(ShowSnafu)?;
             Ok(format!("# version {}\n{text}", site.version))
         }
         None => Ok("# no configuration is stored\n".to_owned()),
--- a/crates/chicoryctl/src/organisation.rs
+++ b/crates/chicoryctl/src/organisation.rs
@@ -5,7 +5,7 @@
 
 use chicoryrail_core::ApiKey;
 use chicoryrail_core::OrganisationName;
-use chicoryrail_core::OrganisationPart;
+use chicoryrail_core::OrganisationSection;
 use chicoryrail_core::SiteFile;
 use chicoryrail_platform::KvStore;
 use rand::TryRngCore;
@@ -40,7 +40,7 @@
             rank,
             name,
         } => {
-            let organisation = OrganisationPart {
+            let organisation = OrganisationSection {
                 name: name.clone(),
                 api_keys: Vec::new(),
                 rate: *rate,
@@ -50,7 +50,7 @@
             add(store, &organisation).await
         }
         OrganisationCommand::Limit { rate, burst, name } => {
-            let set = |organisation: &mut OrganisationPart| {
+            let set = |organisation: &mut OrganisationSection| {
                 organisation.rate = *rate;
                 organisation.burst = *burst;
                 Ok(())
@@ -78,7 +78,7 @@
     let organisations = change::stored_file(store).await?.organisations;
     let organisations = organisations.unwrap_or_default();
     let fingerprints =
-        |o: &OrganisationPart| o.api_keys.iter().map(fingerprint).collect::<Vec<_>>();
+        |o: &OrganisationSection| o.api_keys.iter().map(fingerprint).collect::<Vec<_>>();
     if json {
         let rows = organisations.iter().map(|o| {
             json!({"name": o.name, "rate": o.rate, "burst": o.burst, "rank": o.rank,
@@ -101,7 +101,7 @@
     Ok(text)
 }
 
-async fn add(store: &KvStore, organisation: &OrganisationPart) -> Result<String, CtlError> {
+async fn add(store: &KvStore, organisation: &OrganisationSection) -> Result<String, CtlError> {
     let name = &organisation.name;
     let add = |file: &mut SiteFile| {
         let organisations = file.organisations.get_or_insert_default();
@@ -123,7 +123,7 @@
         .map(|b| char::from(KEY_ALPHABET[usize::from(b % 32)]))
         .collect();
     let key = ApiKey::new(&text);
-    let push = |organisation: &mut OrganisationPart| {
+    let push = |organisation: &mut OrganisationSection| {
         organisation.api_keys.push(key.clone());
         Ok(())
     };
@@ -140,7 +140,7 @@
     name: &OrganisationName,
     prefix: &str,
 ) -> Result<String, CtlError> {
-    let remove = |organisation: &mut OrganisationPart| {
+    let remove = |organisation: &mut OrganisationSection| {
         let matches = |k: &ApiKey| fingerprint(k).starts_with(prefix);
         let found = organisation.api_keys.iter().filter(|k| matches(k)).count();
         if found != 1 {
@@ -163,7 +163,7 @@
 async fn change_organisation(
     store: &KvStore,
     name: &OrganisationName,
-    change: impl Fn(&mut OrganisationPart) -> Result<(), CtlError>,
+    change: impl Fn(&mut OrganisationSection) -> Result<(), CtlError>,
 ) -> Result<u64, CtlError> {
     let change = |file: &mut SiteFile| {
         let organisations = file.organisations.iter_mut().flatten();
--- a/crates/chicoryctl/src/status.rs
+++ b/crates/chicoryctl/src/status.rs
@@ -164,7 +164,11 @@
         for o in organisations {
             let (rate, burst) = o.limit.map_or((0.0, 0.0), |l| (l.rate, l.burst));
             let name = o.name.as_str();
-            let _ = writeln!(text, "{name:<22} {rate:>7} {burst:>7} {:>5}", o.keys.len());
+            let _ = writeln!(
+                text,
+                "{name:<22} {rate:>7} {burst:>7} {:>5}",
+                o.api_keys.len()
+            );
         }
     }
 
@@ -179,7 +183,7 @@
                 keyed: spec.keyed,
                 ready: members().filter(ready).count(),
                 draining: members().filter(|s| !ready(s)).count(),
-                cold: members().filter(|s| s.cold.0 > 0).count(),
+                cold: members().filter(|s| s.warmup_left.0 > 0).count(),
                 slots: members().filter(ready).map(|s| s.slots).sum(),
                 fence: record.map_or(0, |r| r.fence),
                 loose: record.map_or(0, |r| r.loose.len()),
--- a/crates/chicoryctl/tests/commands.rs
+++ b/crates/chicoryctl/tests/commands.rs
@@ -36,7 +36,7 @@
             dc: dc.into(),
             slots,
             state: MemberState::Ready,
-            cold: Millis::ZERO,
+            warmup_left: Millis::ZERO,
         };
         let value = write_member(&member).unwrap();
         self.write(&Subject::Server(name.into()), &value).await;
--- a/crates/chicoryctl/tests/organisations.rs
+++ b/crates/chicoryctl/tests/organisations.rs
@@ -66,7 +66,7 @@
         let item = operator.store.item("op/config").await.unwrap().unwrap();
         let site = read_config(&item.value).unwrap().site;
         let school = site.organisation(&name()).unwrap();
-        assert_eq!(school.keys[0].expose(), key.as_bytes());
+        assert_eq!(school.api_keys[0].expose(), key.as_bytes());
         assert_eq!(school.limit.map(|l| (l.rate, l.burst)), Some((7.0, 2.0)));
         let drop = |fingerprint: &str| OrganisationCommand::DropKey {
             name: name(),
--- a/crates/chicoryrail-core/src/millis.rs
+++ b/crates/chicoryrail-core/src/millis.rs
@@ -40,7 +40,7 @@
 
     /// Converts the value to a standard duration.
     #[must_use]
-    pub const fn duration(self) -> Duration {
+    pub const fn to_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 
@@ -52,7 +52,7 @@
 
     /// Returns the value multiplied by `n`, saturating at [`Millis::MAX`].
     #[must_use]
-    pub const fn times(self, n: u64) -> Self {
+    pub const fn saturating_mul(self, n: u64) -> Self {
         Self(self.0.saturating_mul(n))
     }
 }
--- a/crates/chicoryrail-core/src/site/caller_limits.rs
+++ b/crates/chicoryrail-core/src/site/caller_limits.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Maximum size of a request head in bytes.
-    pub head: usize,
+    pub max_head: usize,
     /// Maximum size of a request body in bytes.
-    pub body: u64,
+    pub max_body: u64,
     /// Maximum time for a request head to arrive.
-    pub head_time: Millis,
+    pub head_timeout: Millis,
     /// Time after which an idle connection may be closed.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
 }
 
 impl Default for CallerLimits {
@@ -22,10 +22,10 @@
     /// limit on bodies, so it refuses no caller that stays within the configuration it doesn't know yet.
     fn default() -> Self {
         Self {
-            head: 16 << 10,
-            body: 64 << 20,
-            head_time: Millis(3_000),
-            idle: Millis(15_000),
+            max_head: 16 << 10,
+            max_body: 64 << 20,
+            head_timeout: Millis(3_000),
+            idle_timeout: Millis(15_000),
         }
     }
 }
--- a/crates/chicoryrail-core/src/site/file.rs
+++ b/crates/chicoryrail-core/src/site/file.rs
@@ -6,13 +6,13 @@
 
 use crate::CallerLimits;
 use crate::Millis;
-use crate::OrganisationPart;
-use crate::Part;
+use crate::OrganisationSection;
 use crate::Route;
 use crate::RouteKind;
 use crate::ServiceName;
 use crate::ServiceSpec;
 use crate::Site;
+use crate::WeightedService;
 
 /// An invalid value in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -32,26 +32,26 @@
 pub struct SiteFile {
     /// Limits on callers' connections and requests.
     #[serde(default)]
-    pub limits: LimitsPart,
+    pub limits: LimitsSection,
     /// Services that routes refer to by name.
     #[serde(rename = "service")]
-    pub services: Vec<ServicePart>,
+    pub services: Vec<ServiceSection>,
     /// Routes. A request uses the one of its host with the longest prefix of its path.
     #[serde(rename = "route")]
-    pub routes: Vec<RoutePart>,
+    pub routes: Vec<RouteSection>,
     /// Organisations. If the list is present, each request needs an API key of one of them, except on public routes.
     #[serde(
         rename = "organisation",
         default,
         skip_serializing_if = "Option::is_none"
     )]
-    pub organisations: Option<Vec<OrganisationPart>>,
+    pub organisations: Option<Vec<OrganisationSection>>,
 }
 
 /// Section with limits on callers' connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct LimitsPart {
+pub struct LimitsSection {
     /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
     /// Maximum size of a request body in bytes.
@@ -65,7 +65,7 @@
 /// Section that describes a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ServicePart {
+pub struct ServiceSection {
     /// Name, unique within the file.
     pub name: ServiceName,
     /// Whether each key has one server as its owner, which receives all requests for the key.
@@ -86,7 +86,7 @@
 /// Section that describes a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RoutePart {
+pub struct RouteSection {
     /// Name, for logs and metrics.
     pub name: String,
     /// Host in callers' requests; upper and lower case are the same.
@@ -106,20 +106,20 @@
     /// Priority if the servers lack capacity for all requests; 0 is served first.
     #[serde(default)]
     pub rank: u8,
-    /// Maximum number of sends that may run one request, the first included; see [`Route::attempts`].
+    /// Maximum number of sends that may run one request, the first included; see [`Route::max_attempts`].
     #[serde(default = "one")]
     pub attempts: u32,
     /// Whether requests need no API key.
     #[serde(default)]
     pub public: bool,
     /// Services that receive the requests; at least one weight is above 0.
-    pub services: Vec<WeightPart>,
+    pub services: Vec<ServiceWeight>,
 }
 
 /// A service's share of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WeightPart {
+pub struct ServiceWeight {
     /// Name of the service.
     pub name: ServiceName,
     /// Share, relative to the weights of the route's other services.
@@ -131,19 +131,19 @@
     1
 }
 
-impl Default for LimitsPart {
+impl Default for LimitsSection {
     fn default() -> Self {
         Self::from_limits(&CallerLimits::default())
     }
 }
 
-impl LimitsPart {
+impl LimitsSection {
     const fn from_limits(limits: &CallerLimits) -> Self {
         Self {
-            head_bytes: limits.head,
-            body_bytes: limits.body,
-            head_ms: limits.head_time,
-            idle_ms: limits.idle,
+            head_bytes: limits.max_head,
+            body_bytes: limits.max_body,
+            head_ms: limits.head_timeout,
+            idle_ms: limits.idle_timeout,
         }
     }
 }
@@ -151,26 +151,26 @@
 impl SiteFile {
     /// Returns the file that describes a configuration; the version is not part of it.
     #[must_use]
-    pub fn of(site: &Site) -> Self {
-        let service = |s: &ServiceSpec| ServicePart {
+    pub fn from_site(site: &Site) -> Self {
+        let service = |s: &ServiceSpec| ServiceSection {
             name: s.name.clone(),
             keyed: s.keyed,
-            health: s.health.clone(),
-            connections: s.connections,
-            cold_ms: s.cold,
-            cold_rate: s.cold_rate,
+            health: s.health_path.clone(),
+            connections: s.max_connections,
+            cold_ms: s.warmup,
+            cold_rate: s.warmup_rate_max,
         };
         Self {
-            limits: LimitsPart::from_limits(&site.limits),
+            limits: LimitsSection::from_limits(&site.limits),
             services: site.services.iter().map(service).collect(),
             routes: site
                 .routes()
                 .iter()
-                .map(|r| RoutePart::from_route(r))
+                .map(|r| RouteSection::from_route(r))
                 .collect(),
             organisations: site.organisations().map(|all| {
                 all.iter()
-                    .map(|o| OrganisationPart::from_organisation(o))
+                    .map(|o| OrganisationSection::from_organisation(o))
                     .collect()
             }),
         }
@@ -192,7 +192,7 @@
         }
         for (i, route) in self.routes.iter().enumerate() {
             route.check(&self.services)?;
-            let is_duplicate = |r: &&RoutePart| r.host == route.host && r.prefix == route.prefix;
+            let is_duplicate = |r: &&RouteSection| r.host == route.host && r.prefix == route.prefix;
             if let Some(other) = self.routes[..i].iter().find(is_duplicate) {
                 let field = format!("route.{}.prefix", route.name);
                 let value = format!("{} of route {}", route.prefix, other.name);
@@ -204,21 +204,21 @@
             organisation.check(&organisations.unwrap_or_default()[..i])?;
         }
         let limits = CallerLimits {
-            head: self.limits.head_bytes,
-            body: self.limits.body_bytes,
-            head_time: self.limits.head_ms,
-            idle: self.limits.idle_ms,
+            max_head: self.limits.head_bytes,
+            max_body: self.limits.body_bytes,
+            head_timeout: self.limits.head_ms,
+            idle_timeout: self.limits.idle_ms,
         };
-        let services = self.services.iter().map(ServicePart::build);
-        let routes = self.routes.iter().map(RoutePart::build);
+        let services = self.services.iter().map(ServiceSection::build);
+        let routes = self.routes.iter().map(RouteSection::build);
         let site = Site::new(version, limits, services.collect(), routes.collect());
         let organisations =
-            organisations.map(|all| all.iter().map(OrganisationPart::build).collect());
+            organisations.map(|all| all.iter().map(OrganisationSection::build).collect());
         Ok(site.with_organisations(organisations))
     }
 }
 
-impl ServicePart {
+impl ServiceSection {
     fn check(&self) -> Result<(), SiteError> {
         let field = |name: &str| format!("service.{}.{name}", self.name);
         if !self.name.is_valid() {
@@ -252,18 +252,18 @@
     fn build(&self) -> ServiceSpec {
         ServiceSpec {
             name: self.name.clone(),
-            health: self.health.clone(),
-            connections: self.connections,
-            cold: self.cold_ms,
-            cold_rate: self.cold_rate,
+            health_path: self.health.clone(),
+            max_connections: self.connections,
+            warmup: self.cold_ms,
+            warmup_rate_max: self.cold_rate,
             keyed: self.keyed,
         }
     }
 }
 
-impl RoutePart {
+impl RouteSection {
     fn from_route(route: &Route) -> Self {
-        let weight = |p: &Part| WeightPart {
+        let weight = |p: &WeightedService| ServiceWeight {
             name: p.service.clone(),
             weight: p.weight,
         };
@@ -274,15 +274,15 @@
             once: route.kind == RouteKind::Order,
             download: route.kind == RouteKind::Download,
             timeout_ms: route.timeout,
-            aim_ms: route.aim,
-            rank: route.rank,
-            attempts: route.attempts,
+            aim_ms: route.latency_target,
+            rank: route.priority,
+            attempts: route.max_attempts,
             public: route.public,
-            services: route.parts.iter().map(weight).collect(),
+            services: route.services.iter().map(weight).collect(),
         }
     }
 
-    fn check(&self, services: &[ServicePart]) -> Result<(), SiteError> {
+    fn check(&self, services: &[ServiceSection]) -> Result<(), SiteError> {
         let field = |name: &str| format!("route.{}.{name}", self.name);
         if self.host.is_empty() {
             return Err(invalid(field("host"), &"", "must not be empty"));
@@ -305,7 +305,7 @@
         if self.attempts == 0 {
             return Err(invalid(field("attempts"), &0, "must be above 0"));
         }
-        let is_unknown = |p: &&WeightPart| !services.iter().any(|s| s.name == p.name);
+        let is_unknown = |p: &&ServiceWeight| !services.iter().any(|s| s.name == p.name);
         if let Some(unknown) = self.services.iter().find(is_unknown) {
             return Err(invalid(
                 field("services"),
@@ -332,7 +332,7 @@
     }
 
     fn build(&self) -> Route {
-        let part = |p: &WeightPart| Part {
+        let part = |p: &ServiceWeight| WeightedService {
             service: p.name.clone(),
             weight: p.weight,
         };
@@ -342,11 +342,11 @@
             prefix: self.prefix.clone(),
             kind: self.kind(),
             timeout: self.timeout_ms,
-            aim: self.aim_ms,
-            rank: self.rank,
-            attempts: self.attempts,
+            latency_target: self.aim_ms,
+            priority: self.rank,
+            max_attempts: self.attempts,
             public: self.public,
-            parts: self.services.iter().map(part).collect(),
+            services: self.services.iter().map(part).collect(),
         }
     }
 }
--- a/crates/chicoryrail-core/src/site/file_organisation.rs
+++ b/crates/chicoryrail-core/src/site/file_organisation.rs
@@ -16,7 +16,7 @@
 /// Section of a configuration file that describes an organisation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OrganisationPart {
+pub struct OrganisationSection {
     /// Name, sent to servers in a request header.
     pub name: OrganisationName,
     /// API keys that identify it.
@@ -33,17 +33,17 @@
     pub rank: Option<u8>,
 }
 
-impl OrganisationPart {
+impl OrganisationSection {
     /// Returns the section that describes `organisation`.
     #[must_use]
     pub fn from_organisation(organisation: &Organisation) -> Self {
         let limit = organisation.limit;
         Self {
             name: organisation.name.clone(),
-            api_keys: organisation.keys.clone(),
+            api_keys: organisation.api_keys.clone(),
             rate: limit.map_or(0.0, |l| l.rate),
             burst: limit.map_or(0.0, |l| l.burst),
-            rank: organisation.rank,
+            rank: organisation.priority,
         }
     }
 
@@ -93,9 +93,9 @@
         };
         Organisation {
             name: self.name.clone(),
-            keys: self.api_keys.clone(),
+            api_keys: self.api_keys.clone(),
             limit: (self.rate > 0.0).then_some(limit),
-            rank: self.rank,
+            priority: self.rank,
         }
     }
 }
--- a/crates/chicoryrail-core/src/site/life.rs
+++ b/crates/chicoryrail-core/src/site/life.rs
@@ -32,7 +32,7 @@
 
     /// Returns whether this is a later start of the same server, which means that `other` has ended.
     #[must_use]
-    pub fn succeeds(&self, other: &Self) -> bool {
+    pub fn supersedes(&self, other: &Self) -> bool {
         self.name == other.name && self.born > other.born
     }
 }
--- a/crates/chicoryrail-core/src/site/member.rs
+++ b/crates/chicoryrail-core/src/site/member.rs
@@ -32,5 +32,5 @@
     /// Whether the server accepts new requests.
     pub state: MemberState,
     /// Remaining time of the server's warm-up, counted from the entry's arrival in the store; zero if it is warm.
-    pub cold: Millis,
+    pub warmup_left: Millis,
 }
--- a/crates/chicoryrail-core/src/site/organisation.rs
+++ b/crates/chicoryrail-core/src/site/organisation.rs
@@ -18,9 +18,9 @@
     /// Name, sent to servers in a request header.
     pub name: OrganisationName,
     /// API keys that identify it; empty if all were removed.
-    pub keys: Vec<ApiKey>,
+    pub api_keys: Vec<ApiKey>,
     /// Rate limit on its requests; `None` if they are not limited.
     pub limit: Option<QuotaLimit>,
     /// Priority of its requests in place of the route's, 0 first; `None` for the route's.
-    pub rank: Option<u8>,
+    pub priority: Option<u8>,
 }
--- a/crates/chicoryrail-core/src/site/route.rs
+++ b/crates/chicoryrail-core/src/site/route.rs
@@ -5,11 +5,11 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Idempotent: may be retried at another server after any failure.
-    Any,
+    Idempotent,
     /// At most once: may be sent again only if it certainly did not run.
-    Once,
+    AtMostOnce,
 }
 
 /// Kind of a route: whether its requests may be retried and whether its responses are large.
@@ -26,10 +26,10 @@
 impl RouteKind {
     /// Returns whether requests of this kind may run more than once.
     #[must_use]
-    pub const fn repeat(self) -> Repeat {
+    pub const fn idempotency(self) -> Idempotency {
         match self {
-            Self::Read | Self::Download => Repeat::Any,
-            Self::Order => Repeat::Once,
+            Self::Read | Self::Download => Idempotency::Idempotent,
+            Self::Order => Idempotency::AtMostOnce,
         }
     }
 
@@ -46,7 +46,7 @@
 
 /// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct WeightedService {
     /// Name of the service.
     pub service: ServiceName,
     /// Share, relative to the weights of the route's other services.
@@ -67,14 +67,14 @@
     /// Maximum time for a request, including its wait for a server and all retries.
     pub timeout: Millis,
     /// Latency target: a response within this time has the most value for the caller.
-    pub aim: Millis,
+    pub latency_target: Millis,
     /// Priority if the servers lack capacity for all requests; 0 is served first.
-    pub rank: u8,
+    pub priority: u8,
     /// Maximum number of sends that may run one request, the first included. Sends that certainly did not run it
     /// don't count, but in all there are at most two sends more than this.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no API key even if organisations are configured.
     pub public: bool,
     /// Services with their weights; at least one weight is above 0.
-    pub parts: Vec<Part>,
+    pub services: Vec<WeightedService>,
 }
--- a/crates/chicoryrail-core/tests/organisations.rs
+++ b/crates/chicoryrail-core/tests/organisations.rs
@@ -40,12 +40,12 @@
 fn organisations_round_trip_through_file() {
     let site = file(TEXT).build(4).unwrap();
     let school = site.organisation(&"school".into()).unwrap();
-    assert_eq!(school.keys.len(), 2);
+    assert_eq!(school.api_keys.len(), 2);
     assert_eq!(school.limit.map(|l| (l.rate, l.burst)), Some((30.0, 10.0)));
-    assert_eq!(school.rank, Some(1));
+    assert_eq!(school.priority, Some(1));
     assert_eq!(site.organisation(&"shop".into()).unwrap().limit, None);
     assert!(site.routes()[0].public);
-    let written = toml::to_string(&SiteFile::of(&site)).unwrap();
+    let written = toml::to_string(&SiteFile::from_site(&site)).unwrap();
     assert_eq!(file(&written).build(4).unwrap(), site);
 }
 
@@ -105,7 +105,7 @@
     let site = file(TEXT).build(1).unwrap();
     let shown = format!(
         "{site:?} {:?} {:?}",
-        SiteFile::of(&site),
+        SiteFile::from_site(&site),
         ApiKey::new("a-secret")
     );
     assert!(!shown.contains("-secret"), "{shown}");
--- a/crates/chicoryrail-core/tests/site_file.rs
+++ b/crates/chicoryrail-core/tests/site_file.rs
@@ -52,12 +52,12 @@
     assert_eq!(site.version, 4);
     let order = site.route("shop.example", "/kits/order/1").unwrap();
     assert_eq!(order.kind, RouteKind::Order);
-    assert_eq!(order.parts[0].weight, 9);
+    assert_eq!(order.services[0].weight, 9);
     let lookup = site.route("shop.example", "/kits/1").unwrap();
-    assert_eq!((lookup.kind, lookup.attempts), (RouteKind::Read, 2));
+    assert_eq!((lookup.kind, lookup.max_attempts), (RouteKind::Read, 2));
     let manual = site.route("shop.example", "/kits/manual/1").unwrap();
     assert_eq!(manual.kind, RouteKind::Download);
-    assert_eq!(SiteFile::of(&site).build(4).unwrap(), site);
+    assert_eq!(SiteFile::from_site(&site).build(4).unwrap(), site);
 }
 
 #[rstest]
--- a/crates/chicoryrail-ownership/tests/model_keys/leading.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/leading.rs
@@ -30,7 +30,7 @@
                 leader
                     .leases
                     .set_server_addr(now, life, ([127, 0, 0, 1], 80).into());
-                for old in owners.iter().filter(|old| life.succeeds(old)) {
+                for old in owners.iter().filter(|old| life.supersedes(old)) {
                     leader.leases.server_ended(old);
                 }
             }
--- a/crates/chicoryrail-policy/src/admission/api_key_index.rs
+++ b/crates/chicoryrail-policy/src/admission/api_key_index.rs
@@ -27,7 +27,7 @@
             by_digest: HashMap::new(),
         };
         for organisation in organisations {
-            for key in &organisation.keys {
+            for key in &organisation.api_keys {
                 let digest = index.digest(key.expose());
                 index.by_digest.insert(digest, Arc::clone(organisation));
             }
--- a/crates/chicoryrail-policy/src/local/server_view.rs
+++ b/crates/chicoryrail-policy/src/local/server_view.rs
@@ -130,7 +130,8 @@
             Failure::Broken => {
                 self.record_outcome(now, true);
                 self.broken_sends += 1;
-                let pause = BROKEN_SERVER_PAUSE.times(u64::from(self.broken_sends.min(4)) - 1);
+                let pause =
+                    BROKEN_SERVER_PAUSE.saturating_mul(u64::from(self.broken_sends.min(4)) - 1);
                 self.paused_until = self.paused_until.max(now + pause);
             }
             Failure::Error | Failure::Silent => self.record_outcome(now, true),
--- a/crates/chicoryrail-policy/src/quota/sliding_window.rs
+++ b/crates/chicoryrail-policy/src/quota/sliding_window.rs
@@ -28,7 +28,7 @@
         let count = (length.0 / BUCKET_LENGTH.0).max(1);
         let per_bucket = requests / count as f64;
         let bucket = |i| Bucket {
-            expires_at: now + BUCKET_LENGTH.times(i),
+            expires_at: now + BUCKET_LENGTH.saturating_mul(i),
             requests: per_bucket,
         };
         Self {
--- a/crates/chicoryrail-policy/tests/admission.rs
+++ b/crates/chicoryrail-policy/tests/admission.rs
@@ -12,9 +12,9 @@
 fn organisation(name: &str, keys: &[&str]) -> Arc<Organisation> {
     Arc::new(Organisation {
         name: name.into(),
-        keys: keys.iter().map(|k| ApiKey::new(k)).collect(),
+        api_keys: keys.iter().map(|k| ApiKey::new(k)).collect(),
         limit: None,
-        rank: None,
+        priority: None,
     })
 }
 
--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -112,7 +112,7 @@
         }
         let jitter = rand::rng().random_range(0..=pause.0 / 4);
         router.process.clock.sleep(pause + Millis(jitter)).await;
-        pause = pause.times(2).min(RETRY_BACKOFF_MAX);
+        pause = pause.saturating_mul(2).min(RETRY_BACKOFF_MAX);
     }
 }
 
@@ -224,7 +224,7 @@
     }
     let hosts = router.peers.borrow().sharing_hosts() as u64;
     BATCH_PAUSE_PER_HOST
-        .times(hosts)
+        .saturating_mul(hosts)
         .clamp(BATCH_PAUSE_MIN, BATCH_PAUSE_MAX)
 }
 
--- a/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
@@ -83,7 +83,7 @@
         };
         let Some(addr) = relay else {
             let _ = timeout(
-                RELAY_RETRY_INTERVAL.duration(),
+                RELAY_RETRY_INTERVAL.to_duration(),
                 router.source.changed.after(seen),
             )
             .await;
--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -64,7 +64,7 @@
         if remaining == Millis::ZERO || has_changes(&router, &poll) {
             break;
         }
-        let _ = timeout(remaining.duration(), router.feed_changed.after(seen)).await;
+        let _ = timeout(remaining.to_duration(), router.feed_changed.after(seen)).await;
     }
     match encode(&reply(&router, &poll, received)) {
         Ok(bytes) if compressed => compressed_response(bytes),
--- a/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
@@ -25,7 +25,7 @@
             false => VERIFICATION_INTERVAL,
             true => read_config(&router).await,
         };
-        let _ = timeout(pause.duration(), router.source.changed.after(changed)).await;
+        let _ = timeout(pause.to_duration(), router.source.changed.after(changed)).await;
     }
 }
 
--- a/crates/chicoryrail-router/src/control/gossip.rs
+++ b/crates/chicoryrail-router/src/control/gossip.rs
@@ -116,7 +116,7 @@
             self.router.peer_socket.send_all(&heartbeat, &addrs).await;
             self.report_service_rates(leads, &addrs).await;
             let change = self.leadership.changed.after(seen);
-            let _ = monoio::time::timeout(HEARTBEAT_INTERVAL.duration(), change).await;
+            let _ = monoio::time::timeout(HEARTBEAT_INTERVAL.to_duration(), change).await;
         }
     }
 
@@ -144,7 +144,7 @@
         loop {
             let hosts = self.router.peers.borrow().addrs().len() as u64;
             let pause = DEMAND_REPORT_PER_HOST
-                .times(hosts)
+                .saturating_mul(hosts)
                 .max(DEMAND_REPORT_INTERVAL_MIN);
             self.router.process.clock.sleep(pause).await;
             let demands = self.take_key_demand();
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -80,7 +80,7 @@
                 router
                     .process
                     .clock
-                    .sleep(LEADER_CHECK_INTERVAL.times(3))
+                    .sleep(LEADER_CHECK_INTERVAL.saturating_mul(3))
                     .await;
             }
         }
--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -162,7 +162,11 @@
             }
             // The end of a call wakes this loop at once: after a loss of power on all hosts, each range waits for the
             // call for the range before it, and a pause after each call would add up.
-            let _ = timeout(BUSY_CHECK_INTERVAL.duration(), self.call_ended.after(ended)).await;
+            let _ = timeout(
+                BUSY_CHECK_INTERVAL.to_duration(),
+                self.call_ended.after(ended),
+            )
+            .await;
         }
     }
 
@@ -201,7 +205,7 @@
         for entry in view.servers().filter(|e| e.member.service == self.service) {
             let life = &entry.member.life;
             leases.set_server_addr(now, life, entry.member.addr);
-            for old in owners.iter().filter(|old| life.succeeds(old)) {
+            for old in owners.iter().filter(|old| life.supersedes(old)) {
                 leases.server_ended(old);
             }
         }
--- a/crates/chicoryrail-router/src/control/quota/leases.rs
+++ b/crates/chicoryrail-router/src/control/quota/leases.rs
@@ -111,7 +111,7 @@
         let low = router.quota.low_tokens.count();
         router.process.clock.sleep(REPORT_INTERVAL_LOW).await;
         let left = REPORT_INTERVAL - REPORT_INTERVAL_LOW;
-        let _ = timeout(left.duration(), router.quota.low_tokens.after(low)).await;
+        let _ = timeout(left.to_duration(), router.quota.low_tokens.after(low)).await;
         send_reports(&router, &pools).await;
     }
 }
--- a/crates/chicoryrail-router/src/messages/socket.rs
+++ b/crates/chicoryrail-router/src/messages/socket.rs
@@ -77,7 +77,7 @@
                 Ok(read) => read,
                 Err(e) => {
                     log::warn!(error:% = e; "talk_read");
-                    monoio::time::sleep(READ_RETRY_INTERVAL.duration()).await;
+                    monoio::time::sleep(READ_RETRY_INTERVAL.to_duration()).await;
                     continue;
                 }
             };
--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -153,7 +153,7 @@
 
     /// Waits for a server for the request, chosen from what this host knows itself.
     async fn wait_for_target(&self) -> Result<Rc<Target>, Refusal> {
-        let latency_target = self.call.route.aim;
+        let latency_target = self.call.route.latency_target;
         let started = self.router.now();
         loop {
             let seen = self.service.changed.count();
@@ -176,7 +176,7 @@
                 return Err(self.refuse(cause, capacity_in));
             }
             let _ = timeout(
-                TARGET_POLL_INTERVAL.duration(),
+                TARGET_POLL_INTERVAL.to_duration(),
                 self.service.changed.after(seen),
             )
             .await;
@@ -189,7 +189,7 @@
         let left = self.call.time_left(self.router.now());
         let has_alternative = self.call.is_idempotent()
             && self.call.key.is_none()
-            && self.may_have_run + 1 < self.call.route.attempts
+            && self.may_have_run + 1 < self.call.route.max_attempts
             && self.body.is_whole();
         // While this process stops, a request that is cancelled to be retried may end with an error of this host
         // instead of the server's response: the shutdown would have lost it.
@@ -198,10 +198,10 @@
         }
         let work = self
             .router
-            .expected_work_us(&self.call.route.name, self.call.route.aim);
+            .expected_work_us(&self.call.route.name, self.call.route.latency_target);
         let response_time_max = Millis((work * UNRESPONSIVE_WORK_FACTOR / 1_000.0) as u64);
         response_time_max
-            .max(self.call.route.aim.times(2))
+            .max(self.call.route.latency_target.saturating_mul(2))
             .min(left)
     }
 
@@ -210,8 +210,8 @@
     fn may_retry(&self, reached_server: bool) -> bool {
         let not_run = self.may_have_run == 0;
         let may = (not_run || self.call.is_idempotent())
-            && self.may_have_run < self.call.route.attempts
-            && self.tried.len() < 2 + self.call.route.attempts as usize
+            && self.may_have_run < self.call.route.max_attempts
+            && self.tried.len() < 2 + self.call.route.max_attempts as usize
             && self.body.is_whole()
             && self.call.time_left(self.router.now()) > SEND_TIME_MIN;
         if !may || !reached_server {
@@ -234,7 +234,7 @@
         };
         let work = self
             .router
-            .expected_work_us(&self.call.route.name, self.call.route.aim);
+            .expected_work_us(&self.call.route.name, self.call.route.latency_target);
         self.refuse(cause, Millis((work / 1_000.0) as u64))
     }
 
--- a/crates/chicoryrail-router/src/route/call.rs
+++ b/crates/chicoryrail-router/src/route/call.rs
@@ -4,12 +4,12 @@
 use std::cell::RefCell;
 use std::sync::Arc;
 
+use chicoryrail_core::Idempotency;
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
 use chicoryrail_core::Organisation;
 use chicoryrail_core::OrganisationName;
 use chicoryrail_core::QuotaLimit;
-use chicoryrail_core::Repeat;
 use chicoryrail_core::Route;
 use chicoryrail_core::ServiceName;
 use chicoryrail_core::ServiceSpec;
@@ -115,8 +115,8 @@
 
     /// Returns the priority under overload; 0 is served first. The organisation's priority overrides the route's.
     pub(crate) fn priority(&self) -> u8 {
-        let priority = self.organisation.as_ref().and_then(|o| o.rank);
-        priority.unwrap_or(self.route.rank)
+        let priority = self.organisation.as_ref().and_then(|o| o.priority);
+        priority.unwrap_or(self.route.priority)
     }
 
     /// Returns the organisation, and its rate limit, of which the request still needs a token.
@@ -133,7 +133,7 @@
 
     /// Returns whether the request may run more than once.
     pub(crate) fn is_idempotent(&self) -> bool {
-        self.route.kind.repeat() == Repeat::Any
+        self.route.kind.idempotency() == Idempotency::Idempotent
     }
 
     /// Returns the name of the route's selected service.
@@ -156,20 +156,20 @@
 /// Selects one of the route's weighted services, in turn. The configuration decoder accepts only routes whose services
 /// are configured.
 fn pick_service(router: &Router, site: &Site, route: &Route) -> ServiceSpec {
-    let index = if route.parts.len() > 1 {
-        let weights: Vec<u32> = route.parts.iter().map(|p| p.weight).collect();
+    let index = if route.services.len() > 1 {
+        let weights: Vec<u32> = route.services.iter().map(|p| p.weight).collect();
         router.next_weighted(&route.name, &weights)
     } else {
         0
     };
-    let name = &route.parts[index].service;
+    let name = &route.services[index].service;
     let spec = site.service(name).cloned();
     spec.unwrap_or_else(|| ServiceSpec {
         name: name.clone(),
-        health: String::new(),
-        connections: u32::MAX,
-        cold: Millis::ZERO,
-        cold_rate: 0.0,
+        health_path: String::new(),
+        max_connections: u32::MAX,
+        warmup: Millis::ZERO,
+        warmup_rate_max: 0.0,
         keyed: false,
     })
 }
--- a/crates/chicoryrail-router/src/route/caller.rs
+++ b/crates/chicoryrail-router/src/route/caller.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
+use chicoryrail_core::Idempotency;
 use chicoryrail_core::Millis;
-use chicoryrail_core::Repeat;
 use chicoryrail_core::RouteKind;
 use chicoryrail_platform::call_header;
 use chicoryrail_runtime::Body;
@@ -63,7 +63,7 @@
         if time_left == Millis::ZERO {
             return;
         }
-        let _ = timeout(time_left.duration(), router.feed_changed.after(seen)).await;
+        let _ = timeout(time_left.to_duration(), router.feed_changed.after(seen)).await;
     }
 }
 
@@ -77,15 +77,15 @@
 }
 
 async fn run(router: &Rc<Router>, call: Call, body: Body) -> Response<Body> {
-    let limit = router.site().map_or(u64::MAX, |s| s.limits.body);
+    let limit = router.site().map_or(u64::MAX, |s| s.limits.max_body);
     let body = RequestBody::new(body, limit);
     let call = Rc::new(call);
     let mut guard = AbandonGuard::new(router, &call);
-    let result = match call.route.kind.repeat() {
-        Repeat::Any => forward(router, &call, &body).await,
+    let result = match call.route.kind.idempotency() {
+        Idempotency::Idempotent => forward(router, &call, &body).await,
         // A request that must not run twice is not cancelled when its caller disconnects, so that its server
         // completes what it has begun. The spawned task continues when this future is dropped.
-        Repeat::Once => {
+        Idempotency::AtMostOnce => {
             let (router, call) = (Rc::clone(router), Rc::clone(&call));
             let task = monoio::spawn(async move { forward(&router, &call, &body).await });
             task.await
@@ -149,7 +149,7 @@
     let service = call.service_name().as_str();
     let (outcome, response) = match result {
         Ok(response) => {
-            let outcome = outcome(&response, took, call.route.aim);
+            let outcome = outcome(&response, took, call.route.latency_target);
             if is_sampled(router, call) || outcome != "in_time" {
                 log_end(call, outcome, took, Some(response.status()), None);
             }
@@ -233,7 +233,7 @@
     let key = call.key.map_or_else(|| "-".to_owned(), |k| k.to_string());
     log::info!(request = call.id, route = call.route.name, service:% = call.service_name(),
         status = status.map_or(0, |s| s.as_u16()), cause = cause, retry_after_ms = retry_after,
-        took_ms = took.0, waited_ms = stats.waited.0, aim_ms = call.route.aim.0,
+        took_ms = took.0, waited_ms = stats.waited.0, aim_ms = call.route.latency_target.0,
         time_ms = time_limit.0, server = server, sends = stats.sends,
         chosen_by = chosen_by, key = key, config = call.config_version; "request_{outcome}");
 }
--- a/crates/chicoryrail-router/src/route/choose.rs
+++ b/crates/chicoryrail-router/src/route/choose.rs
@@ -63,7 +63,7 @@
     let Some(target) = target else {
         return Choice::Wait(Cause::KeyMoving, KEY_MOVE_RETRY);
     };
-    let work = router.expected_work_us(&call.route.name, call.route.aim);
+    let work = router.expected_work_us(&call.route.name, call.route.latency_target);
     let loads = service.loads.borrow();
     if loads.has_capacity(now, target.id) && take_rate_permit(router, call, &target, now) {
         return Choice::Send(target);
@@ -82,7 +82,7 @@
     if accepting.is_empty() {
         return Choice::Wait(Cause::NoServer, NO_SERVER_RETRY);
     }
-    let work = router.expected_work_us(&call.route.name, call.route.aim);
+    let work = router.expected_work_us(&call.route.name, call.route.latency_target);
     let mut untried: Vec<_> = accepting
         .iter()
         .filter(|t| !tried.contains(&t.life))
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -121,7 +121,7 @@
     );
     let in_flight = InFlight::new(service, target, &slot);
     let exchange = exchange(router, service, target, call, body, in_flight);
-    let sent = match timeout(limit.duration(), exchange).await {
+    let sent = match timeout(limit.to_duration(), exchange).await {
         Ok(sent) => sent,
         Err(_) => SendOutcome::Indeterminate(Indeterminate::Silent),
     };
@@ -137,10 +137,10 @@
     let mut loads = service.loads.borrow_mut();
     match sent.failure() {
         None => {
-            let work = router.expected_work_us(&call.route.name, call.route.aim);
+            let work = router.expected_work_us(&call.route.name, call.route.latency_target);
             if matches!(sent, SendOutcome::Answered(_)) {
                 loads.record_response(now, target.id, elapsed_us, work, idle);
-                router.record_work(&call.route.name, call.route.aim, elapsed_us);
+                router.record_work(&call.route.name, call.route.latency_target, elapsed_us);
             }
         }
         Some(failure) => loads.record_failure(now, target.id, failure),
--- a/crates/chicoryrail-router/src/route/slot_query.rs
+++ b/crates/chicoryrail-router/src/route/slot_query.rs
@@ -140,7 +140,7 @@
         };
         let wait = next_step.since(silence).min(call.time_left(now)) + Millis(1);
         let changed = pin!(pending_reply.changed.after(seen));
-        let _ = timeout(wait.duration(), changed).await;
+        let _ = timeout(wait.to_duration(), changed).await;
     }
 }
 
@@ -162,7 +162,7 @@
         let now = self.router.now();
         let work = self
             .router
-            .expected_work_us(&call.route.name, call.route.aim);
+            .expected_work_us(&call.route.name, call.route.latency_target);
         let slot_query = SlotQuery {
             dc: self.router.boot().dc.clone(),
             part: self.part.clone(),
@@ -172,7 +172,7 @@
             key: call.key,
             rank: call.priority(),
             organisation: call.needed_quota().map(|(name, _)| name.clone()),
-            aim: (call.arrived + call.route.aim).since(now).0,
+            aim: (call.arrived + call.route.latency_target).since(now).0,
             left: call.time_left(now).0,
             work_us: work as u64,
             large: call.route.kind == RouteKind::Download,
--- a/crates/chicoryrail-router/src/run.rs
+++ b/crates/chicoryrail-router/src/run.rs
@@ -173,7 +173,7 @@
     ));
     stop.cancelled().await;
     shut_down(&router, &callers_stop).await;
-    let _ = monoio::time::timeout(Millis(200).duration(), elected).await;
+    let _ = monoio::time::timeout(Millis(200).to_duration(), elected).await;
     drop(served);
     internal_stop.cancel();
     log::info!(serving = router.serving.get(); "stop");
--- a/crates/chicoryrail-router/src/state/apply.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -94,9 +94,9 @@
                 self.quota.set(site);
             }
             let mut limits = self.limits.get();
-            limits.head = site.limits.head;
-            limits.head_time = site.limits.head_time;
-            limits.idle = site.limits.idle;
+            limits.head = site.limits.max_head;
+            limits.head_time = site.limits.head_timeout;
+            limits.idle = site.limits.idle_timeout;
             self.limits.set(limits);
         }
         let mut present: HashMap<ServiceName, Vec<Life>> = HashMap::new();
@@ -156,12 +156,12 @@
             }
         };
         // A server can start to warm up again at any time without a restart.
-        target.extend_warmup(entry.updated, member.cold);
+        target.extend_warmup(entry.updated, member.warmup_left);
         target.slots.set(member.slots);
         service.loads.borrow_mut().set(target.id, member.slots);
         let spec = view.site().and_then(|s| s.service(&service.name));
         service.keyed.set(spec.is_some_and(|s| s.keyed));
-        let connections = spec.map_or(u32::MAX, |s| s.connections);
+        let connections = spec.map_or(u32::MAX, |s| s.max_connections);
         let share = connections / self.peers.borrow().sharing_hosts() as u32;
         target.pool.set_cap(member.slots, share.max(2));
         let admission = if view.is_taken_out(&member.dc) {
@@ -201,7 +201,7 @@
                 let entry = view.servers().find(|e| e.member.life.name == *name);
                 if let Some(ServerEntry { member, .. }) = entry {
                     log::info!(server:% = member.life, service:% = member.service, dc:% = member.dc,
-                        state:? = member.state, cold_ms = member.cold.0, revision = revision; "server");
+                        state:? = member.state, cold_ms = member.warmup_left.0, revision = revision; "server");
                 }
             }
             ViewChange::ServerGone(name) => {
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -361,7 +361,7 @@
     pub(crate) fn warmup_rate_max(&self, service: &ServiceName) -> f64 {
         let bounds = self.boot().bounds;
         let site = self.site();
-        let rate = site.and_then(|s| s.service(service).map(|s| s.cold_rate));
+        let rate = site.and_then(|s| s.service(service).map(|s| s.warmup_rate_max));
         rate.unwrap_or(0.0) * bounds.cold_over + bounds.cold_slack
     }
 
--- a/crates/chicoryrail-router/tests/answers.rs
+++ b/crates/chicoryrail-router/tests/answers.rs
@@ -78,7 +78,7 @@
             router.log().matches("route=manual").count() >= READERS as usize
         })
         .await;
-        monoio::time::sleep(Millis(500).duration()).await;
+        monoio::time::sleep(Millis(500).to_duration()).await;
         let grown = router.memory() - before;
         assert!(grown < GROWTH_MAX_KIB, "{grown} KiB");
         // A caller that resumes reading receives the rest.
@@ -133,14 +133,14 @@
         let caller = router.caller();
         let late = caller.call("POST", "/order/1", None, 300).await.unwrap();
         assert_eq!(late.status(), 504);
-        monoio::time::sleep(Millis(200).duration()).await;
+        monoio::time::sleep(Millis(200).to_duration()).await;
         for i in 0..5 {
             let path = format!("/read/{i}");
             let response = caller.get(&path).await.unwrap();
             let head = AnswerHead::check(response.body()).unwrap();
             assert_eq!(head.path, path);
         }
-        monoio::time::sleep(Millis(500).duration()).await;
+        monoio::time::sleep(Millis(500).to_duration()).await;
         let response = caller.get("/read/after").await.unwrap();
         let head = AnswerHead::check(response.body()).unwrap();
         assert_eq!(head.path, "/read/after");
@@ -181,7 +181,7 @@
         world.configure().await;
         let server = world.server("i-1", "desk").await;
         let routers = [world.router("a").await, world.router("b").await];
-        monoio::time::sleep(Millis(1_000).duration()).await;
+        monoio::time::sleep(Millis(1_000).to_duration()).await;
         server.set_work(Millis(20));
         let calls = (0..20).map(|i| {
             let caller = routers[i % 2].caller();
--- a/crates/chicoryrail-router/tests/callers.rs
+++ b/crates/chicoryrail-router/tests/callers.rs
@@ -142,7 +142,7 @@
         server.fault(TargetFault::Cold {
             for_ms: Some(3_000),
         });
-        monoio::time::sleep(Millis(500).duration()).await;
+        monoio::time::sleep(Millis(500).to_duration()).await;
         let clock = Clock::start();
         let (mut answered, mut refused) = (0, 0);
         while clock.now() < Millis(1_900) {
--- a/crates/chicoryrail-router/tests/divided.rs
+++ b/crates/chicoryrail-router/tests/divided.rs
@@ -46,7 +46,7 @@
         let east = start_servers(&world, "east").await;
         let router = world.router("a").await;
         // The parts exchange their free slots at intervals.
-        monoio::time::sleep(Millis(600).duration()).await;
+        monoio::time::sleep(Millis(600).to_duration()).await;
         for _ in 0..4 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
--- a/crates/chicoryrail-router/tests/keys.rs
+++ b/crates/chicoryrail-router/tests/keys.rs
@@ -96,7 +96,7 @@
             for key in KEYS {
                 assert_eq!(second.caller().key(key).await.unwrap().status(), 200);
             }
-            monoio::time::sleep(Millis(50).duration()).await;
+            monoio::time::sleep(Millis(50).to_duration()).await;
         }
         assert!(second.log().contains("log=leader_won"));
     });
@@ -118,13 +118,13 @@
         };
         world.fault(&down).await;
         // Time for both hosts to detect the outage and for one more renewal of the keys.
-        monoio::time::sleep(Millis(5_000).duration()).await;
+        monoio::time::sleep(Millis(5_000).to_duration()).await;
         first.signal(Signal::SIGKILL);
         for _ in 0..60 {
             for key in KEYS {
                 assert_eq!(second.caller().key(key).await.unwrap().status(), 200);
             }
-            monoio::time::sleep(Millis(100).duration()).await;
+            monoio::time::sleep(Millis(100).to_duration()).await;
         }
         wait_until("the other host leads", async || {
             second.log().contains("log=leader_won")
@@ -148,7 +148,7 @@
             hosts: Vec::new(),
         };
         world.fault(&down).await;
-        monoio::time::sleep(Millis(4_200).duration()).await;
+        monoio::time::sleep(Millis(4_200).to_duration()).await;
         first.signal(Signal::SIGKILL);
         unreachable.ignore_key_calls();
         let second = world.spawn("b");
@@ -165,7 +165,7 @@
             if moved {
                 break;
             }
-            monoio::time::sleep(Millis(10).duration()).await;
+            monoio::time::sleep(Millis(10).to_duration()).await;
         }
         assert!(moved);
     });
--- a/crates/chicoryrail-router/tests/leaf_hosts.rs
+++ b/crates/chicoryrail-router/tests/leaf_hosts.rs
@@ -94,7 +94,7 @@
         let fleet = Fleet::start("frozen-relay").await;
         let relay = fleet.relay();
         relay.signal(Signal::SIGSTOP);
-        let limit = Millis(2_000).duration();
+        let limit = Millis(2_000).to_duration();
         let removal = monoio::time::timeout(limit, fleet.remove_server()).await;
         relay.signal(Signal::SIGCONT);
         assert!(removal.is_ok(), "the removal was not applied in time");
--- a/crates/chicoryrail-router/tests/limited_servers.rs
+++ b/crates/chicoryrail-router/tests/limited_servers.rs
@@ -56,7 +56,7 @@
         let response = router.caller().key(key as u16).await.unwrap();
         counts.sent += 1;
         counts.served += usize::from(response.status() == 200);
-        monoio::time::sleep(REQUEST_INTERVAL.duration()).await;
+        monoio::time::sleep(REQUEST_INTERVAL.to_duration()).await;
     }
     counts
 }
--- a/crates/chicoryrail-router/tests/operator.rs
+++ b/crates/chicoryrail-router/tests/operator.rs
@@ -52,7 +52,7 @@
         let running = monoio::spawn(async move { caller.post("/order/1").await });
         wait_until("the request runs", async || server.ledger().max_busy > 0).await;
         router.signal(Signal::SIGTERM);
-        monoio::time::sleep(Millis(50).duration()).await;
+        monoio::time::sleep(Millis(50).to_duration()).await;
         assert!(!router.is_ready().await);
         let late = router.caller().get("/read/1").await.unwrap();
         assert_eq!(late.status(), 200);
@@ -77,7 +77,7 @@
         let router = world.router("a").await;
         draining.fault(TargetFault::Leave);
         world.remove("servers/i-2").await;
-        monoio::time::sleep(Millis(500).duration()).await;
+        monoio::time::sleep(Millis(500).to_duration()).await;
         for _ in 0..20 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
@@ -97,9 +97,9 @@
         let staying = world.server("i-2", "desk").await;
         let router = world.router("a").await;
         world.fault(&StoreFault::Silent { for_ms: 1_500 }).await;
-        monoio::time::sleep(Millis(4_500).duration()).await;
+        monoio::time::sleep(Millis(4_500).to_duration()).await;
         draining.fault(TargetFault::Leave);
-        monoio::time::sleep(Millis(1_000).duration()).await;
+        monoio::time::sleep(Millis(1_000).to_duration()).await;
         for _ in 0..10 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
@@ -118,10 +118,10 @@
         world.configure().await;
         let _server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        monoio::time::sleep(Millis(1_500).duration()).await;
+        monoio::time::sleep(Millis(1_500).to_duration()).await;
         world.stall_watches(Millis(500)).await;
         world.configure().await;
-        monoio::time::sleep(Millis(2_000).duration()).await;
+        monoio::time::sleep(Millis(2_000).to_duration()).await;
         assert!(
             router.log().contains("version=6"),
             "the new configuration is not in force"
@@ -224,12 +224,12 @@
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
         world.put("op/evacuate/west", &json!({})).await;
-        monoio::time::sleep(Millis(400).duration()).await;
+        monoio::time::sleep(Millis(400).to_duration()).await;
         let refused = router.caller().get("/read/1").await.unwrap();
         assert_eq!(refused.status(), 503);
         assert!(server.executed() == 0);
         world.remove("op/evacuate/west").await;
-        monoio::time::sleep(Millis(400).duration()).await;
+        monoio::time::sleep(Millis(400).to_duration()).await;
         assert_eq!(router.caller().get("/read/2").await.unwrap().status(), 200);
     });
 }
@@ -248,7 +248,7 @@
         let router = world.router("a").await;
         servers.iter().for_each(|s| s.set_work(Millis(1_200)));
         router.signal(Signal::SIGTERM);
-        monoio::time::sleep(Millis(50).duration()).await;
+        monoio::time::sleep(Millis(50).to_duration()).await;
         let response = router.caller().get("/read/1").await.unwrap();
         assert_eq!(response.status(), 200);
         let runs: usize = servers.iter().map(|s| s.executed()).sum();
@@ -265,11 +265,11 @@
         world.configure().await;
         let _server = world.server("i-1", "desk").await;
         let _router = world.router("a").await;
-        monoio::time::sleep(Millis(500).duration()).await;
+        monoio::time::sleep(Millis(500).to_duration()).await;
         let before = world.watch_requests().await;
         for fence in 1..=10 {
             world.put("chicoryrail/keys/other", &record(fence)).await;
-            monoio::time::sleep(Millis(200).duration()).await;
+            monoio::time::sleep(Millis(200).to_duration()).await;
         }
         let watches = world.watch_requests().await - before;
         assert!(watches <= 2, "{watches} watches");
--- a/crates/chicoryrail-router/tests/organisations.rs
+++ b/crates/chicoryrail-router/tests/organisations.rs
@@ -152,7 +152,7 @@
         let router = world.router("a").await;
         assert_eq!(status(&router, "/order/1", SHOP_KEY).await, 200);
         world.fault(&StoreFault::Silent { for_ms: 6_000 }).await;
-        monoio::time::sleep(REVOCATION_TIME.duration()).await;
+        monoio::time::sleep(REVOCATION_TIME.to_duration()).await;
         for path in ["/order/1", "/manual/1"] {
             let response = call(&router, path, &[("Chicoryrail-Key", SHOP_KEY)]).await;
             assert_eq!(response.status(), 503);
@@ -184,7 +184,7 @@
         world.server("i-1", "desk").await;
         let router = world.router("a").await;
         world.fault(&StoreFault::Silent { for_ms: 6_000 }).await;
-        monoio::time::sleep((REVOCATION_TIME + Millis(700)).duration()).await;
+        monoio::time::sleep((REVOCATION_TIME + Millis(700)).to_duration()).await;
         assert!(router.is_ready().await);
         assert_eq!(status(&router, "/read/1", "").await, 200);
     });
@@ -206,7 +206,7 @@
             false,
         )
         .await;
-        monoio::time::sleep(REVOCATION_TIME.duration()).await;
+        monoio::time::sleep(REVOCATION_TIME.to_duration()).await;
         assert_ne!(status(&router, "/read/1", SHOP_KEY).await, 200);
     });
 }
@@ -227,7 +227,7 @@
             router.log().contains("leader_won")
         })
         .await;
-        monoio::time::sleep(Millis(1_500).duration()).await;
+        monoio::time::sleep(Millis(1_500).to_duration()).await;
         let mut refused = 0;
         for _ in 0..150 {
             let response = call(&router, "/read/1", &[("Chicoryrail-Key", SCHOOL_KEY)]).await;
--- a/crates/chicoryrail-router/tests/pipelined.rs
+++ b/crates/chicoryrail-router/tests/pipelined.rs
@@ -108,7 +108,7 @@
         let line = "GET /read/1";
         let sent = [("p-1", line), ("p-2", line), ("p-3", line), ("p-4", line)];
         let caller = Caller::send(router.callers, &sent).await;
-        sleep(Millis(40).duration()).await;
+        sleep(Millis(40).to_duration()).await;
         world.configure().await;
         if let Some(signal) = signal {
             router.signal(signal);
--- a/crates/chicoryrail-router/tests/support/world.rs
+++ b/crates/chicoryrail-router/tests/support/world.rs
@@ -53,7 +53,7 @@
         if done().await {
             return;
         }
-        monoio::time::sleep(Millis(10).duration()).await;
+        monoio::time::sleep(Millis(10).to_duration()).await;
     }
     panic!("timed out waiting until {what}");
 }
--- a/crates/chicoryrail-runtime/src/callers/http_server.rs
+++ b/crates/chicoryrail-runtime/src/callers/http_server.rs
@@ -147,14 +147,15 @@
                 Ok((stream, addr)) if open.get() < limits.get().connections => accept(stream, addr),
                 Ok(_) => {}
                 // Out of file descriptors: waits a little to avoid a busy loop.
-                Err(_) => monoio::time::sleep(Millis(10).duration()).await,
+                Err(_) => monoio::time::sleep(Millis(10).to_duration()).await,
             },
         }
     }
     // Connections in the kernel's accept queue have sent a request or are about to, and closing the listener would
     // reset them. They are accepted and get one response.
     for _ in 0..MAX_FINAL_ACCEPTS {
-        let Ok(Ok((stream, addr))) = timeout(FINAL_ACCEPT_WAIT.duration(), listener.accept()).await
+        let Ok(Ok((stream, addr))) =
+            timeout(FINAL_ACCEPT_WAIT.to_duration(), listener.accept()).await
         else {
             break;
         };
@@ -162,7 +163,7 @@
     }
     drop(listener);
     while open.get() > 0 {
-        monoio::time::sleep(Millis(5).duration()).await;
+        monoio::time::sleep(Millis(5).to_duration()).await;
     }
 }
 
@@ -186,12 +187,12 @@
     let in_flight = InFlight::default();
     let io = CallerIo::new(
         Rc::clone(&stream),
-        limits.head_time.duration(),
+        limits.head_time.to_duration(),
         in_flight.clone(),
     );
     let served = http1::Builder::new()
         .timer(MonoioTimer)
-        .header_read_timeout(limits.idle.max(limits.head_time).duration())
+        .header_read_timeout(limits.idle.max(limits.head_time).to_duration())
         .max_headers(limits.headers)
         .max_buf_size(head)
         .half_close(false)
@@ -241,7 +242,10 @@
             break;
         }
         let ended = poll_fn(|cx| drive(served.as_mut(), cx));
-        if timeout(FIRST_REQUEST_WAIT.duration(), ended).await.is_ok() {
+        if timeout(FIRST_REQUEST_WAIT.to_duration(), ended)
+            .await
+            .is_ok()
+        {
             return;
         }
     }
--- a/crates/chicoryrail-runtime/src/clock.rs
+++ b/crates/chicoryrail-runtime/src/clock.rs
@@ -38,6 +38,6 @@
 
     /// Sleeps for `length`.
     pub async fn sleep(&self, length: Millis) {
-        monoio::time::sleep(length.duration()).await;
+        monoio::time::sleep(length.to_duration()).await;
     }
 }
--- a/crates/chicoryrail-runtime/src/http_client.rs
+++ b/crates/chicoryrail-runtime/src/http_client.rs
@@ -110,7 +110,7 @@
     ) -> Result<http::Response<Bytes>, HttpError> {
         let received = Cell::new(0);
         let exchange = self.exchange(addr, request, &received);
-        match timeout(time_limit.duration(), exchange).await {
+        match timeout(time_limit.to_duration(), exchange).await {
             Ok(result) => result,
             Err(_) => Err(self.time_out(addr, received.get())),
         }
@@ -137,7 +137,7 @@
         let mut time_limit = wait.first;
         loop {
             let last_received = received.get();
-            if let Ok(result) = timeout(time_limit.duration(), &mut exchange).await {
+            if let Ok(result) = timeout(time_limit.to_duration(), &mut exchange).await {
                 return result;
             }
             if received.get() == last_received {
--- a/crates/chicoryrail-runtime/src/request_body.rs
+++ b/crates/chicoryrail-runtime/src/request_body.rs
@@ -85,7 +85,7 @@
             }
             Ok(())
         };
-        timeout(limit.duration(), read_start)
+        timeout(limit.to_duration(), read_start)
             .await
             .unwrap_or(Err(BodyFault::Slow))
     }
--- a/crates/chicoryrail-runtime/src/server_pool.rs
+++ b/crates/chicoryrail-runtime/src/server_pool.rs
@@ -99,7 +99,7 @@
             return Err(io::Error::other("connection limit of the server reached"));
         }
         let guard = OpenGuard::new(&self.open);
-        timeout(CONNECT_TIMEOUT.duration(), ServerConn::open(addr, guard))
+        timeout(CONNECT_TIMEOUT.to_duration(), ServerConn::open(addr, guard))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
--- a/crates/chicoryrail-runtime/tests/http_client.rs
+++ b/crates/chicoryrail-runtime/tests/http_client.rs
@@ -28,7 +28,7 @@
     let addr = listener.local_addr().unwrap();
     let server = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        thread::sleep(Millis(600).duration());
+        thread::sleep(Millis(600).to_duration());
         let mut all = Vec::new();
         let end = stream.read_to_end(&mut all).map_err(|e| e.kind());
         (all.len(), end)
@@ -39,7 +39,7 @@
             .unwrap();
         let client = HttpClient::default();
         let result = client.call(addr, request, Millis(100)).await;
-        monoio::time::sleep(Millis(1_000).duration()).await;
+        monoio::time::sleep(Millis(1_000).to_duration()).await;
         result
     });
     assert!(
@@ -62,9 +62,9 @@
         stream.write_all(head).unwrap();
         for _ in 0..pieces {
             stream.write_all(&[1; 10]).unwrap();
-            thread::sleep(Millis(60).duration());
+            thread::sleep(Millis(60).to_duration());
         }
-        thread::sleep(Millis(5_000).duration());
+        thread::sleep(Millis(5_000).to_duration());
     });
     addr
 }
--- a/crates/chicoryrail-runtime/tests/pipeline.rs
+++ b/crates/chicoryrail-runtime/tests/pipeline.rs
@@ -79,7 +79,7 @@
     events.borrow_mut().push(format!("begin {path}"));
     let _ = request.into_body().collect().await;
     if path.starts_with("/slow") {
-        sleep(SLOW.duration()).await;
+        sleep(SLOW.to_duration()).await;
     }
     events.borrow_mut().push(format!("end {path}"));
     if path.starts_with("/cut") {
@@ -166,7 +166,7 @@
         caller
             .send(&paths.iter().map(|p| get(p)).collect::<String>())
             .await;
-        sleep(QUICK.duration()).await;
+        sleep(QUICK.to_duration()).await;
         assert_eq!(service.events().len(), 9);
         assert_eq!(caller.read_responses(18).await, paths);
         let took = clock.now();
@@ -212,7 +212,7 @@
             caller
                 .send(&format!("{}{head}\r\n\r\n", get("/slow/1")))
                 .await;
-            sleep(QUICK.duration()).await;
+            sleep(QUICK.to_duration()).await;
             assert_eq!(service.events(), ["begin /slow/1"]);
             caller.send("0\r\n\r\n").await;
             let responses = caller.read_responses(2).await;
@@ -233,10 +233,10 @@
         for byte in start.chars() {
             caller.send(&byte.to_string()).await;
         }
-        sleep(Millis(10).duration()).await;
+        sleep(Millis(10).to_duration()).await;
         assert_eq!(service.events(), ["begin /slow/1"]);
         caller.send(last).await;
-        sleep(Millis(10).duration()).await;
+        sleep(Millis(10).to_duration()).await;
         assert_eq!(service.events()[1..], ["begin /quick/2", "end /quick/2"]);
         assert_eq!(caller.read_responses(2).await, ["/slow/1", "/quick/2"]);
     });
@@ -249,9 +249,9 @@
         let service = Service::start();
         let mut caller = service.caller().await;
         caller.send(&gets(&["/slow/1", "/slow/2"])).await;
-        sleep(QUICK.duration()).await;
+        sleep(QUICK.to_duration()).await;
         drop(caller);
-        sleep((SLOW + QUICK).duration()).await;
+        sleep((SLOW + QUICK).to_duration()).await;
         assert_eq!(service.events(), ["begin /slow/1", "begin /slow/2"]);
     });
 }
@@ -265,9 +265,9 @@
         let mut caller = service.caller().await;
         let paths = ["/slow/1", "/slow/2", "/quick/3"];
         caller.send(&gets(&paths)).await;
-        sleep(QUICK.duration()).await;
+        sleep(QUICK.to_duration()).await;
         service.stop.cancel();
-        sleep(QUICK.duration()).await;
+        sleep(QUICK.to_duration()).await;
         caller.send(&get("/quick/4")).await;
         assert_eq!(caller.read_responses(4).await, paths);
         assert!(!service.events().contains(&"begin /quick/4".to_owned()));
@@ -309,7 +309,7 @@
         let mut caller = service.caller().await;
         let head = "POST /order/1 HTTP/1.1\r\nhost: a\r\ncontent-length: 6\r\n\r\nabc";
         caller.send(head).await;
-        sleep(QUICK.duration()).await;
+        sleep(QUICK.to_duration()).await;
         assert_eq!(service.events(), ["begin /order/1"]);
         caller.send(&format!("def{}", get("/quick/2"))).await;
         assert_eq!(caller.read_responses(2).await, ["/order/1", "/quick/2"]);
--- a/crates/chicoryrail-testkit/src/chaos/act.rs
+++ b/crates/chicoryrail-testkit/src/chaos/act.rs
@@ -226,7 +226,7 @@
     let operator = &context.operator;
     let variant = |target_ms: u64| {
         let mut routes: Vec<_> = site.routes().iter().map(|r| (**r).clone()).collect();
-        routes[0].aim = Millis(target_ms);
+        routes[0].latency_target = Millis(target_ms);
         let site = &site;
         let organisations = site.organisations();
         let organisations = organisations.map(|all| all.iter().map(|o| (**o).clone()).collect());
--- a/crates/chicoryrail-testkit/src/chaos/run.rs
+++ b/crates/chicoryrail-testkit/src/chaos/run.rs
@@ -53,7 +53,7 @@
     cluster.configure(READY_TIMEOUT)?;
     // Wait until the targets are warmed up: while every server is warming up, none has a usual service time to
     // compare with. Later warm-ups come from faults.
-    std::thread::sleep(WARMUP_TIME.duration().saturating_sub(started.elapsed()));
+    std::thread::sleep(WARMUP_TIME.to_duration().saturating_sub(started.elapsed()));
     let size = ClusterSize {
         hosts: cluster.hosts().len(),
         targets: cluster.targets().len(),
--- a/crates/chicoryrail-testkit/src/cluster/deployment.rs
+++ b/crates/chicoryrail-testkit/src/cluster/deployment.rs
@@ -5,11 +5,11 @@
 
 use chicoryrail_core::CallerLimits;
 use chicoryrail_core::Millis;
-use chicoryrail_core::Part;
 use chicoryrail_core::Route;
 use chicoryrail_core::RouteKind;
 use chicoryrail_core::ServiceSpec;
 use chicoryrail_core::Site;
+use chicoryrail_core::WeightedService;
 
 use crate::LoadKind;
 use crate::LoadService;
@@ -170,10 +170,10 @@
     pub fn site(self, warmup: Millis) -> Site {
         let service = |s: &ServicePlan| ServiceSpec {
             name: s.name.into(),
-            health: "/healthz".to_owned(),
-            connections: self.connections(),
-            cold: warmup,
-            cold_rate: WARMUP_RATE,
+            health_path: "/healthz".to_owned(),
+            max_connections: self.connections(),
+            warmup,
+            warmup_rate_max: WARMUP_RATE,
             keyed: s.keyed,
         };
         let services = self.services().iter();
@@ -197,11 +197,11 @@
             prefix: plan.path(),
             kind,
             timeout: REQUEST_TIMEOUT,
-            aim: LATENCY_TARGET,
-            rank: u8::from(plan.load_kind == LoadKind::Report),
-            attempts,
+            latency_target: LATENCY_TARGET,
+            priority: u8::from(plan.load_kind == LoadKind::Report),
+            max_attempts: attempts,
             public: false,
-            parts: vec![Part {
+            services: vec![WeightedService {
                 service: plan.name.into(),
                 weight: 1,
             }],
--- a/crates/chicoryrail-testkit/src/cluster/http.rs
+++ b/crates/chicoryrail-testkit/src/cluster/http.rs
@@ -64,7 +64,7 @@
     timeout: Millis,
     operation: &str,
 ) -> Result<(), ClusterError> {
-    let deadline = Instant::now() + timeout.duration();
+    let deadline = Instant::now() + timeout.to_duration();
     while Instant::now() < deadline {
         if is_ok(addr, path, Millis(1_000)) {
             return Ok(());
--- a/crates/chicoryrail-testkit/src/cluster/operator.rs
+++ b/crates/chicoryrail-testkit/src/cluster/operator.rs
@@ -34,7 +34,7 @@
     ///
     /// Returns what `chicoryctl` printed to standard error if it fails.
     pub fn put(&self, name: &str, site: &Site) -> Result<(), ClusterError> {
-        let text = toml::to_string(&SiteFile::of(site)).map_err(|e| ClusterError::Call {
+        let text = toml::to_string(&SiteFile::from_site(site)).map_err(|e| ClusterError::Call {
             operation: "write the configuration".to_owned(),
             message: e.to_string(),
         })?;
--- a/crates/chicoryrail-testkit/src/cluster/organisations.rs
+++ b/crates/chicoryrail-testkit/src/cluster/organisations.rs
@@ -38,9 +38,9 @@
     pub fn organisations(self) -> Option<Vec<Organisation>> {
         let build = |name: &str, limit| Organisation {
             name: name.into(),
-            keys: vec![ApiKey::new(&api_key(name))],
+            api_keys: vec![ApiKey::new(&api_key(name))],
             limit,
-            rank: None,
+            priority: None,
         };
         match self {
             Self::Updraft => Some(vec![
--- a/crates/chicoryrail-testkit/src/cluster/process.rs
+++ b/crates/chicoryrail-testkit/src/cluster/process.rs
@@ -150,7 +150,7 @@
     /// Sends SIGTERM and waits for the process to exit; kills it after `timeout` and returns an error.
     pub(crate) fn stop(&mut self, timeout: Millis) -> Result<ExitStatus, ClusterError> {
         self.signal(Signal::SIGTERM);
-        let deadline = Instant::now() + timeout.duration();
+        let deadline = Instant::now() + timeout.to_duration();
         while Instant::now() < deadline {
             if let Some(child) = &mut self.child
                 && let Ok(Some(status)) = child.try_wait()
--- a/crates/chicoryrail-testkit/src/load/balancer.rs
+++ b/crates/chicoryrail-testkit/src/load/balancer.rs
@@ -71,7 +71,7 @@
             let response = client.call(addr, request, CHECK_TIMEOUT).await;
             let healthy = response.is_ok_and(|r| r.status() == 200);
             self.hosts[i].healthy.set(healthy);
-            monoio::time::sleep(CHECK_INTERVAL.duration()).await;
+            monoio::time::sleep(CHECK_INTERVAL.to_duration()).await;
         }
     }
 }
--- a/crates/chicoryrail-testkit/src/load/call.rs
+++ b/crates/chicoryrail-testkit/src/load/call.rs
@@ -111,7 +111,7 @@
             },
         },
     };
-    let limit = (deadline + HANG_GRACE).duration();
+    let limit = (deadline + HANG_GRACE).to_duration();
     let sent = send(pool, hosts, planned, deadline, &mut record);
     if timeout(limit, sent).await.is_err() {
         record.outcome = Outcome::Unknown;
--- a/crates/chicoryrail-testkit/src/store/server.rs
+++ b/crates/chicoryrail-testkit/src/store/server.rs
@@ -222,11 +222,11 @@
         let _guard = WatchGuard::new(&self.state);
         if self.is_in_hang_window() {
             let changed = self.state.borrow().changed.clone();
-            let _ = timeout(wait.duration(), changed.cancelled()).await;
+            let _ = timeout(wait.to_duration(), changed.cancelled()).await;
         }
         loop {
             if let Some(left) = self.stall_left() {
-                monoio::time::sleep(left.duration()).await;
+                monoio::time::sleep(left.to_duration()).await;
                 self.state.borrow_mut().kv.compact();
                 return error_answer(503, "the history was forgotten");
             }
@@ -246,7 +246,7 @@
                 state.changed.clone()
             };
             let left = deadline.since(self.clock.now()) + Millis(1);
-            let _ = timeout(left.duration(), changed.cancelled()).await;
+            let _ = timeout(left.to_duration(), changed.cancelled()).await;
         }
     }
 
--- a/crates/chicoryrail-testkit/src/target/presence.rs
+++ b/crates/chicoryrail-testkit/src/target/presence.rs
@@ -28,7 +28,7 @@
     loop {
         if let Err(e) = register(&state, &store, addr).await {
             log::info!("{}: store entry lost: {e}", state.options.name);
-            monoio::time::sleep(RENEWAL_INTERVAL.duration()).await;
+            monoio::time::sleep(RENEWAL_INTERVAL.to_duration()).await;
         }
     }
 }
@@ -46,7 +46,7 @@
             dc: state.options.dc.clone(),
             slots: state.options.slots,
             state: advertised.state,
-            cold: state.warmup_left(),
+            warmup_left: state.warmup_left(),
         };
         let value = write_member(&member).unwrap_or_default();
         let key = Subject::Server(state.options.name.clone()).key();
@@ -54,7 +54,7 @@
         store.commit(&txn).await?;
         let mut renewed_at = state.now();
         while state.advertised() == advertised {
-            monoio::time::sleep(POLL_INTERVAL.duration()).await;
+            monoio::time::sleep(POLL_INTERVAL.to_duration()).await;
             if state.now().since(renewed_at) >= RENEWAL_INTERVAL {
                 store.keep_lease(lease.id).await?;
                 renewed_at = state.now();
--- a/crates/chicoryrail-testkit/src/target/response.rs
+++ b/crates/chicoryrail-testkit/src/target/response.rs
@@ -131,7 +131,7 @@
         if self.cut_after == Some(0) {
             let flush_delay = self
                 .flush_delay
-                .get_or_insert_with(|| Box::pin(sleep(FLUSH_DELAY.duration())));
+                .get_or_insert_with(|| Box::pin(sleep(FLUSH_DELAY.to_duration())));
             ready!(flush_delay.as_mut().poll(context));
             return Poll::Ready(Some(Err(io::Error::other("fault: cut"))));
         }
--- a/crates/chicoryrail-testkit/src/target/server.rs
+++ b/crates/chicoryrail-testkit/src/target/server.rs
@@ -162,7 +162,7 @@
         let now = self.state.now();
         let dropped_until = self.state.faults.borrow_mut().key_calls_dropped_until(now);
         if let Some(until) = dropped_until {
-            monoio::time::sleep(until.since(now).duration()).await;
+            monoio::time::sleep(until.since(now).to_duration()).await;
             return Err(Cut);
         }
         let (result, is_grant) = match call {
@@ -193,7 +193,7 @@
     async fn release(&self, grant: &KeyGrant) {
         self.state.holding.borrow_mut().release(grant);
         while self.state.has_running(grant.first, grant.last) {
-            monoio::time::sleep(POLL_INTERVAL.duration()).await;
+            monoio::time::sleep(POLL_INTERVAL.to_duration()).await;
         }
         self.state.holding.borrow_mut().finish_release(grant);
     }
--- a/crates/chicoryrail-testkit/src/target/slots.rs
+++ b/crates/chicoryrail-testkit/src/target/slots.rs
@@ -78,7 +78,7 @@
             slots: self,
             granted,
         };
-        let waited = timeout(limit.duration(), waiter.granted.cancelled()).await;
+        let waited = timeout(limit.to_duration(), waiter.granted.cancelled()).await;
         if waited.is_ok() || waiter.granted.is_cancelled() {
             waiter.granted = CancellationToken::new();
             return Ok(Slot(self.clone()));
--- a/crates/chicoryrail-testkit/src/target/work.rs
+++ b/crates/chicoryrail-testkit/src/target/work.rs
@@ -96,7 +96,7 @@
     }
     let faults = state.faults.borrow_mut().sample(state.now());
     if faults.delay > Millis::ZERO {
-        monoio::time::sleep(faults.delay.duration()).await;
+        monoio::time::sleep(faults.delay.to_duration()).await;
     }
     if faults.lost {
         return Err(Cut);
--- a/crates/chicoryrail-testkit/tests/target.rs
+++ b/crates/chicoryrail-testkit/tests/target.rs
@@ -120,7 +120,7 @@
             .insert(call_header::TIME_LEFT, "50".parse().unwrap());
         let first = send(addr, lookup("first", "work_us=1500000"));
         let second = async {
-            monoio::time::sleep(Millis(100).duration()).await;
+            monoio::time::sleep(Millis(100).to_duration()).await;
             send(addr, late).await
         };
         let (_, response) = futures_util::future::join(first, second).await;
@@ -239,11 +239,12 @@
             for _ in 0..1_000 {
                 if let Some(item) = store.item(&key).await.unwrap() {
                     let member = read_member(&name, &item.value).unwrap();
-                    if (member.cold > Millis::ZERO) == is_warming_up && member.state == state {
+                    if (member.warmup_left > Millis::ZERO) == is_warming_up && member.state == state
+                    {
                         return member;
                     }
                 }
-                monoio::time::sleep(Millis(10).duration()).await;
+                monoio::time::sleep(Millis(10).to_duration()).await;
             }
             panic!("the entry never has warming up: {is_warming_up}, {state:?}");
         };
