--- a/crates/chicoryctl/src/change.rs
+++ b/crates/chicoryctl/src/change.rs
@@ -104,7 +104,7 @@
     let build = |before: Option<ConfigEntry>| {
         let before = before.ok_or(CtlError::NoConfig)?;
         // Some values can't be used as they are stored. Writing the configuration back would lose them.
-        if let Some(source) = before.unknown.into_iter().next() {
+        if let Some(source) = before.invalid.into_iter().next() {
             return Err(CtlError::Entry { source });
         }
         let mut file = SiteFile::from_site(&before.site);
@@ -134,7 +134,7 @@
     if !force {
         check_remaining(&status, dc)?;
     }
-    let key = store_key(&Subject::TakenOut(dc.clone()));
+    let key = store_key(&Subject::DrainedDc(dc.clone()));
     if status.dcs_out.contains(dc) {
         return Ok(format!("{dc} is already out of service\n"));
     }
@@ -147,7 +147,7 @@
 
 /// Brings a data centre back into service.
 pub(crate) async fn back(store: &KvStore, dc: &DcName) -> Result<String, CtlError> {
-    let key = store_key(&Subject::TakenOut(dc.clone()));
+    let key = store_key(&Subject::DrainedDc(dc.clone()));
     if store.item(&key).await.context(StoreSnafu)?.is_none() {
         return Ok(format!("{dc} is not out of service\n"));
     }
--- a/crates/chicoryctl/src/run.rs
+++ b/crates/chicoryctl/src/run.rs
@@ -49,7 +49,7 @@
     let json = settings.json;
     let store = match (&settings.command, settings.store) {
         (Command::Check { file }, _) => return change::check(file),
-        (_, Some(addr)) => KvStore::new(addr).with_call_limit(STORE_CALL_TIMEOUT),
+        (_, Some(addr)) => KvStore::new(addr).with_call_timeout(STORE_CALL_TIMEOUT),
         (_, None) => unreachable!("the parser requires --store for this command"),
     };
     match &settings.command {
--- a/crates/chicoryctl/src/status.rs
+++ b/crates/chicoryctl/src/status.rs
@@ -76,7 +76,7 @@
             Subject::Config => {
                 self.site = Some(read_config(&item.value).map_err(|e| e.to_string())?.site);
             }
-            Subject::TakenOut(dc) => self.dcs_out.push(dc),
+            Subject::DrainedDc(dc) => self.dcs_out.push(dc),
             Subject::Server(name) => {
                 let server = read_member(&name, &item.value).map_err(|e| e.to_string())?;
                 self.servers.push(server);
--- a/crates/chicoryrail-core/src/site/file.rs
+++ b/crates/chicoryrail-core/src/site/file.rs
@@ -332,7 +332,7 @@
     }
 
     fn build(&self) -> Route {
-        let part = |p: &ServiceWeight| WeightedService {
+        let weighted = |p: &ServiceWeight| WeightedService {
             service: p.name.clone(),
             weight: p.weight,
         };
@@ -346,7 +346,7 @@
             priority: self.rank,
             max_attempts: self.attempts,
             public: self.public,
-            services: self.services.iter().map(part).collect(),
+            services: self.services.iter().map(weighted).collect(),
         }
     }
 }
--- a/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
@@ -32,7 +32,7 @@
 /// Returns `true` if this host must verify the configuration, for itself and the hosts that follow it. Without
 /// organisations there are no API keys to revoke, so nothing needs to be verified.
 fn needs_verification(router: &Router) -> bool {
-    let bound = router.boot().bounds.revoke;
+    let bound = router.boot().bounds.revoke_delay;
     let site = router.site();
     let organisations = site.is_some_and(|s| s.organisations().is_some());
     bound.is_some() && organisations && router.source.watches()
@@ -45,7 +45,7 @@
     record_store_call(router, "prove_config", read.as_ref().err());
     match read {
         Ok(all) => {
-            let is_applied = router.feed_logs.borrow()[0].holds(&all);
+            let is_applied = router.feed_logs.borrow()[0].matches(&all);
             if !is_applied {
                 apply_snapshot(router, Feed::Operator, &all);
             }
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -93,7 +93,7 @@
 
 /// Tries to become the leader; returns the term, the id of the lease and its TTL, or `None` if another host leads.
 async fn campaign(router: &Router) -> Result<Option<(u64, u64, Millis)>, StoreError> {
-    let ttl = ELECTION_LEASE.max(router.boot().store.least_lease);
+    let ttl = ELECTION_LEASE.max(router.boot().store.min_lease);
     let lease = store_call(router, "open_lease", router.store.open_lease(ttl)).await?;
     let name = router.boot().host.clone();
     let txn = Txn::default().expect(&leader_key(), 0).put_leased(
@@ -165,7 +165,7 @@
 ) -> &'static str {
     loop {
         let sent = router.now();
-        let renewed = store_call(router, "keep_lease", router.store.keep_lease(lease)).await;
+        let renewed = store_call(router, "keep_lease", router.store.renew_lease(lease)).await;
         match renewed {
             Ok(()) => leadership.confirmed_at.set(sent),
             Err(StoreError::LeaseGone) => return "lease_gone",
--- a/crates/chicoryrail-router/src/control/leader/key_calls.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_calls.rs
@@ -102,13 +102,13 @@
             control.grant(addr, &life.name, &grant, limit).await
         } else {
             let reason = "not sent: leadership is no longer confirmed".to_owned();
-            Err(KeyError::Silent { reason })
+            Err(KeyError::NoResponse { reason })
         };
         let (end, name) = match &result {
             Ok(()) => (GrantOutcome::Granted, "held"),
-            Err(KeyError::FenceOld) => (GrantOutcome::StaleFence, "fence_old"),
+            Err(KeyError::StaleFence) => (GrantOutcome::StaleFence, "fence_old"),
             Err(KeyError::OtherServer) => (GrantOutcome::WrongServer, "other_server"),
-            Err(KeyError::Silent { .. } | KeyError::Refused { .. }) => {
+            Err(KeyError::NoResponse { .. } | KeyError::Refused { .. }) => {
                 (GrantOutcome::NoAnswer, "silent")
             }
         };
--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -281,7 +281,7 @@
         first: span.first,
         last: span.last,
         fence,
-        hold: duration,
+        lease: duration,
         handover,
     }
 }
--- a/crates/chicoryrail-router/src/control/membership/presence.rs
+++ b/crates/chicoryrail-router/src/control/membership/presence.rs
@@ -36,7 +36,7 @@
     loop {
         let result = match lease {
             None => register(&router, addr).await.map(|id| lease = Some(id)),
-            Some(id) => store_call(&router, "presence", router.store.keep_lease(id)).await,
+            Some(id) => store_call(&router, "presence", router.store.renew_lease(id)).await,
         };
         let pause = match result {
             Ok(()) if router.source.watches() => WATCHER_RENEWAL_INTERVAL,
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -212,7 +212,7 @@
         drain(body, in_flight).await;
         return SendOutcome::NotRun(NotRun::Refused);
     }
-    let stamped = head.headers.contains_key(call_header::STAMP);
+    let stamped = head.headers.contains_key(call_header::UPSTREAM_STAMP);
     if !stamped || echoed.is_none() || head.headers.contains_key(CONTENT_ENCODING) {
         return SendOutcome::Indeterminate(Indeterminate::Spoiled);
     }
@@ -254,7 +254,7 @@
         slot.record_load(report);
     }
     let warmup_left =
-        call_header::text(headers, &call_header::COLD_LEFT).and_then(|t| t.parse().ok());
+        call_header::text(headers, &call_header::WARMUP_LEFT).and_then(|t| t.parse().ok());
     if let Some(left) = warmup_left {
         target.extend_warmup(now, Millis(left));
     }
@@ -265,7 +265,7 @@
 fn record_rate_limit(router: &Router, in_flight: &InFlight, headers: &HeaderMap) {
     let target = &in_flight.target;
     let value = call_header::text(headers, &call_header::RATE_LIMIT);
-    if value.is_none() && !headers.contains_key(call_header::STAMP) {
+    if value.is_none() && !headers.contains_key(call_header::UPSTREAM_STAMP) {
         return;
     }
     match AdvertisedRate::parse(value) {
--- a/crates/chicoryrail-router/src/state/apply.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -164,13 +164,13 @@
         let connections = spec.map_or(u32::MAX, |s| s.max_connections);
         let share = connections / self.peers.borrow().sharing_hosts() as u32;
         target.pool.set_cap(member.slots, share.max(2));
-        let admission = if view.is_taken_out(&member.dc) {
+        let admission = if view.is_drained(&member.dc) {
             Admission::Closed
         } else if entry.is_ready() && entry.missing.is_none() {
             Admission::Open
         } else {
             let since = entry.missing.unwrap_or(entry.since);
-            Admission::Draining(drain_end(since, self.boot().bounds.drain))
+            Admission::Draining(drain_end(since, self.boot().bounds.drain_timeout))
         };
         if admission == Admission::Closed || !entry.is_ready() {
             target.pool.clear();
@@ -181,12 +181,12 @@
     fn log(&self, change: &ViewChange) {
         let revision = self.view.borrow().revision();
         match change {
-            ViewChange::Config { from, to, unknown } => {
+            ViewChange::Config { from, to, invalid } => {
                 let invariants = &self.process.invariants;
                 invariants.rises(Invariant::ConfigForward, from, to);
                 log::info!(from = from, version = to, revision = revision; "config_in_force");
-                self.counters.unknown_words.inc_by(unknown.len() as u64);
-                for e in unknown {
+                self.counters.invalid_values.inc_by(invalid.len() as u64);
+                for e in invalid {
                     log::warn!(version = to, entry = e.entry, field = e.field, reason = e.reason;
                         "config_unknown_word");
                 }
@@ -194,8 +194,8 @@
             ViewChange::OldConfig { version, kept } => {
                 log::warn!(version = version, kept = kept; "config_not_newer");
             }
-            ViewChange::TakenOut(dc) => log::info!(dc:% = dc, revision = revision; "dc_out"),
-            ViewChange::TakenBack(dc) => log::info!(dc:% = dc, revision = revision; "dc_back"),
+            ViewChange::DrainedDc(dc) => log::info!(dc:% = dc, revision = revision; "dc_out"),
+            ViewChange::RestoredDc(dc) => log::info!(dc:% = dc, revision = revision; "dc_back"),
             ViewChange::Server(name) => {
                 let view = self.view.borrow();
                 let entry = view.servers().find(|e| e.member.life.name == *name);
--- a/crates/chicoryrail-router/src/state/counters.rs
+++ b/crates/chicoryrail-router/src/state/counters.rs
@@ -31,7 +31,7 @@
     /// Store entries that could not be decoded.
     pub(crate) bad_entries: IntCounter,
     /// Unknown values in configurations that came into force.
-    pub(crate) unknown_words: IntCounter,
+    pub(crate) invalid_values: IntCounter,
     /// Time from a request's arrival to its response, by service, kind and outcome.
     pub(crate) request_time: HistogramVec,
     /// Time that requests waited for a server, by service.
@@ -87,7 +87,7 @@
                 "bad_entries_total",
                 "Store entries that could not be decoded",
             ),
-            unknown_words: metrics.counter(
+            invalid_values: metrics.counter(
                 "config_unknown_words_total",
                 "Unknown values in configurations in force, each counted once per version",
             ),
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -122,7 +122,7 @@
         };
         Rc::new(Self {
             counters: Counters::new(&process.metrics),
-            store: KvStore::new(boot.store.addr).with_largest(boot.store.value),
+            store: KvStore::new(boot.store.addr).with_max_value(boot.store.max_value_bytes),
             control: KeyControl::default(),
             view: RefCell::default(),
             peers: RefCell::default(),
@@ -199,7 +199,7 @@
     /// link reduces it.
     pub(crate) fn power(&self) -> u32 {
         let limits = self.boot().limits;
-        let core = (limits.cpu * 1_000.0) as u32;
+        let core = (limits.cpu_share * 1_000.0) as u32;
         if limits.link_mbps < SLOW_LINK_MBPS {
             return (core / SLOW_LINK_POWER_DIVISOR).max(1);
         }
@@ -214,7 +214,7 @@
     /// Returns the address at which this host exchanges messages with other hosts.
     pub(crate) fn peer_addr(&self) -> SocketAddr {
         let boot = self.boot();
-        SocketAddr::new(boot.ip, *boot.ports.start())
+        SocketAddr::new(boot.ip, *boot.peer_ports.start())
     }
 
     /// Returns the state that this host reports in its heartbeats.
@@ -307,7 +307,7 @@
     pub(crate) fn quota_tolerance(&self) -> QuotaTolerance {
         let bounds = self.boot().bounds;
         QuotaTolerance {
-            ratio: bounds.quota_over,
+            ratio: bounds.quota_excess,
             slack: bounds.quota_slack,
             window: bounds.quota_window,
         }
@@ -330,7 +330,7 @@
     /// Returns whether requests with API keys may be served: the configuration was verified to be current within the
     /// bound on the delay of revocations.
     pub(crate) fn is_config_fresh(&self, now: Millis) -> bool {
-        let bound = self.boot().bounds.revoke;
+        let bound = self.boot().bounds.revoke_delay;
         let freshness = self.organisations.freshness();
         bound.is_none_or(|bound| freshness.is_fresh(now, bound))
     }
@@ -362,7 +362,7 @@
         let bounds = self.boot().bounds;
         let site = self.site();
         let rate = site.and_then(|s| s.service(service).map(|s| s.warmup_rate_max));
-        rate.unwrap_or(0.0) * bounds.cold_over + bounds.cold_slack
+        rate.unwrap_or(0.0) * bounds.warmup_factor + bounds.warmup_slack
     }
 
     /// Returns the index of the next service of a route by weighted round robin. The start depends on the process, so
@@ -375,21 +375,21 @@
     }
 
     /// Returns the mean service time of the route's requests at an average server, in microseconds; before the first
-    /// observation a third of the latency target `aim`.
-    pub(crate) fn expected_work_us(&self, route: &str, aim: Millis) -> f64 {
+    /// observation a third of the latency target.
+    pub(crate) fn expected_work_us(&self, route: &str, latency_target: Millis) -> f64 {
         let work_means = self.work_means.borrow();
         work_means
             .get(route)
             .copied()
-            .unwrap_or(aim.0 as f64 * 333.0)
+            .unwrap_or(latency_target.0 as f64 * 333.0)
     }
 
     /// Records the service time `us` of a request of the route, in microseconds. An observation counts at most as five
     /// times the mean.
-    pub(crate) fn record_work(&self, route: &str, aim: Millis, us: f64) {
+    pub(crate) fn record_work(&self, route: &str, latency_target: Millis, us: f64) {
         /// Weight of a new observation in the exponentially weighted mean.
         const EWMA_WEIGHT: f64 = 0.05;
-        let before = self.expected_work_us(route, aim);
+        let before = self.expected_work_us(route, latency_target);
         let after = before + (us.min(before * 5.0) - before) * EWMA_WEIGHT;
         self.work_means.borrow_mut().insert(route.to_owned(), after);
     }
@@ -398,5 +398,5 @@
 /// Returns the maximum number of callers' connections for the file descriptors of the process: a quarter is left for
 /// servers, the store and other hosts.
 fn max_connections(boot: &Boot) -> u32 {
-    boot.limits.fds.saturating_sub(300).max(64) / 4 * 3
+    boot.limits.max_fds.saturating_sub(300).max(64) / 4 * 3
 }
--- a/crates/chicoryrail-router/src/state/view.rs
+++ b/crates/chicoryrail-router/src/state/view.rs
@@ -33,15 +33,15 @@
         from: u64,
         /// Version in force.
         to: u64,
-        /// Unknown values in the configuration, and what replaces them.
-        unknown: Vec<DecodeError>,
+        /// Values in the configuration that were ignored or replaced by a default, with the reason.
+        invalid: Vec<DecodeError>,
     },
     /// A configuration is rejected because its version is below the one in force.
     OldConfig { version: u64, kept: u64 },
     /// A data centre was taken out of service.
-    TakenOut(DcName),
+    DrainedDc(DcName),
     /// A data centre was returned to service.
-    TakenBack(DcName),
+    RestoredDc(DcName),
     /// A server registered, or changed its entry.
     Server(ServerName),
     /// A server's entry is gone: deleted, or overwritten with a value that can't be decoded.
@@ -78,7 +78,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct View {
     site: Option<Rc<Site>>,
-    taken_out: BTreeSet<DcName>,
+    drained_dcs: BTreeSet<DcName>,
     servers: BTreeMap<ServerName, ServerEntry>,
     own: BTreeMap<String, OwnItem>,
     /// Last revision of each entry that could not be decoded, by key.
@@ -96,8 +96,8 @@
     }
 
     /// Returns whether a data centre is taken out of service.
-    pub(crate) fn is_taken_out(&self, dc: &DcName) -> bool {
-        self.taken_out.contains(dc)
+    pub(crate) fn is_drained(&self, dc: &DcName) -> bool {
+        self.drained_dcs.contains(dc)
     }
 
     /// Iterates over the servers' entries.
@@ -152,7 +152,7 @@
         let keys = all.items.iter().map(|i| i.key.as_str());
         let present: BTreeSet<Subject> = keys.map(Subject::of).collect();
         for subject in self.subjects() {
-            if feed.holds(&subject) && !present.contains(&subject) {
+            if feed.contains(&subject) && !present.contains(&subject) {
                 changes.extend(self.remove(now, subject));
             }
         }
@@ -167,9 +167,9 @@
     fn subjects(&self) -> Vec<Subject> {
         let servers = self.servers.iter().filter(|(_, r)| r.missing.is_none());
         let servers = servers.map(|(name, _)| Subject::Server(name.clone()));
-        let taken_out = self.taken_out.iter().cloned().map(Subject::TakenOut);
+        let drained_dcs = self.drained_dcs.iter().cloned().map(Subject::DrainedDc);
         let own = self.own.keys().cloned().map(Subject::Own);
-        servers.chain(taken_out).chain(own).collect()
+        servers.chain(drained_dcs).chain(own).collect()
     }
 
     /// Applies a change of a feed.
@@ -183,9 +183,9 @@
     fn remove(&mut self, now: Millis, subject: Subject) -> Option<ViewChange> {
         match subject {
             Subject::Server(name) => self.mark_missing(now, name),
-            Subject::TakenOut(dc) => {
-                let was = self.taken_out.remove(&dc);
-                was.then_some(ViewChange::TakenBack(dc))
+            Subject::DrainedDc(dc) => {
+                let was = self.drained_dcs.remove(&dc);
+                was.then_some(ViewChange::RestoredDc(dc))
             }
             Subject::Own(key) => {
                 let was = self.own.remove(&key);
@@ -228,9 +228,9 @@
     fn put(&mut self, now: Millis, item: &Item) -> Option<ViewChange> {
         match Subject::of(&item.key) {
             Subject::Config => self.put_config(item),
-            Subject::TakenOut(dc) => {
-                let new = self.taken_out.insert(dc.clone());
-                new.then_some(ViewChange::TakenOut(dc))
+            Subject::DrainedDc(dc) => {
+                let new = self.drained_dcs.insert(dc.clone());
+                new.then_some(ViewChange::DrainedDc(dc))
             }
             Subject::Server(name) => self.put_server(now, name, item),
             Subject::Own(key) => self.put_own(key, item),
@@ -239,7 +239,7 @@
     }
 
     fn put_config(&mut self, item: &Item) -> Option<ViewChange> {
-        let ConfigEntry { site, unknown } = match read_config(&item.value) {
+        let ConfigEntry { site, invalid } = match read_config(&item.value) {
             Ok(entry) => entry,
             Err(e) => return self.unreadable(item, e),
         };
@@ -256,7 +256,7 @@
         }
         let to = site.version;
         self.site = Some(Rc::new(site));
-        Some(ViewChange::Config { from, to, unknown })
+        Some(ViewChange::Config { from, to, invalid })
     }
 
     fn put_server(&mut self, now: Millis, name: ServerName, item: &Item) -> Option<ViewChange> {
--- a/crates/chicoryrail-router/tests/callers.rs
+++ b/crates/chicoryrail-router/tests/callers.rs
@@ -25,7 +25,7 @@
         let caller = router.caller();
         let response = caller.get("/read/1").await.unwrap();
         assert_eq!(response.status(), 200);
-        assert_eq!(response.headers()[call_header::STAMP], "stamp");
+        assert_eq!(response.headers()[call_header::UPSTREAM_STAMP], "stamp");
         assert_eq!(AnswerHead::check(response.body()).unwrap().server, "i-1");
         assert_eq!(caller.post("/order/1").await.unwrap().status(), 200);
         assert_eq!(caller.get("/none/1").await.unwrap().status(), 404);
@@ -91,7 +91,7 @@
         assert_eq!(response.status(), status);
         let ran: usize = servers.iter().map(|s| s.executed()).sum();
         assert_eq!(ran - before, runs);
-        let marked = response.headers().contains_key(call_header::STAMP);
+        let marked = response.headers().contains_key(call_header::UPSTREAM_STAMP);
         assert_eq!(marked, mode == Mode::Fail);
     });
 }
--- a/crates/chicoryrail-testkit/src/load/call.rs
+++ b/crates/chicoryrail-testkit/src/load/call.rs
@@ -178,7 +178,7 @@
 ) {
     let (head, body) = response.into_parts();
     let text = |name: &http::HeaderName| call_header::text(&head.headers, name);
-    let stamped = text(&call_header::STAMP).is_some();
+    let stamped = text(&call_header::UPSTREAM_STAMP).is_some();
     record.status = head.status.as_u16();
     record.server = text(&call_header::SERVER).map(str::to_owned);
     let Ok(body) = collect(body, MAX_RESPONSE_BYTES).await else {
--- a/crates/chicoryrail-testkit/src/target/holding.rs
+++ b/crates/chicoryrail-testkit/src/target/holding.rs
@@ -65,7 +65,7 @@
                 key.lease = self.last_lease;
             }
             key.highest_fence = grant.fence;
-            key.expires_at = now + grant.hold;
+            key.expires_at = now + grant.lease;
         }
         Ok(())
     }
--- a/crates/chicoryrail-testkit/src/target/presence.rs
+++ b/crates/chicoryrail-testkit/src/target/presence.rs
@@ -56,7 +56,7 @@
         while state.advertised() == advertised {
             monoio::time::sleep(POLL_INTERVAL.to_duration()).await;
             if state.now().since(renewed_at) >= RENEWAL_INTERVAL {
-                store.keep_lease(lease.id).await?;
+                store.renew_lease(lease.id).await?;
                 renewed_at = state.now();
             }
         }
--- a/crates/chicoryrail-testkit/src/target/work.rs
+++ b/crates/chicoryrail-testkit/src/target/work.rs
@@ -117,7 +117,9 @@
     add_headers(&state, response.headers_mut(), &sent_head.request);
     if !faults.unmarked {
         let stamp = HeaderValue::from_static("stamp");
-        response.headers_mut().insert(call_header::STAMP, stamp);
+        response
+            .headers_mut()
+            .insert(call_header::UPSTREAM_STAMP, stamp);
     }
     Ok(response)
 }
@@ -270,7 +272,7 @@
     }
     let warmup_left = state.warmup_left();
     if warmup_left > Millis::ZERO {
-        headers.insert(call_header::COLD_LEFT, HeaderValue::from(warmup_left.0));
+        headers.insert(call_header::WARMUP_LEFT, HeaderValue::from(warmup_left.0));
     }
     if state.is_draining() {
         let close = HeaderValue::from_static("close");
--- a/crates/chicoryrail-testkit/tests/holding.rs
+++ b/crates/chicoryrail-testkit/tests/holding.rs
@@ -11,7 +11,7 @@
         first,
         last,
         fence,
-        hold: Millis(700),
+        lease: Millis(700),
         handover: None,
     }
 }
--- a/crates/chicoryrail-testkit/tests/store.rs
+++ b/crates/chicoryrail-testkit/tests/store.rs
@@ -261,7 +261,7 @@
 fn a_value_over_the_limit_fails_with_its_key_and_is_not_sent() {
     block_on(async {
         let addr = start(StoreOptions::default()).await;
-        let store = KvStore::new(addr).with_largest(10);
+        let store = KvStore::new(addr).with_max_value(10);
         let txn = Txn::default().put("small", b"1").put("large", &[0; 11]);
         let error = StoreError::TooLarge {
             key: "large".to_owned(),
--- a/crates/chicoryrail-testkit/tests/target.rs
+++ b/crates/chicoryrail-testkit/tests/target.rs
@@ -155,7 +155,7 @@
             first: 100,
             last: 199,
             fence,
-            hold: Millis(20_000),
+            lease: Millis(20_000),
             handover: None,
         };
         let control = KeyControl::default();
@@ -164,7 +164,7 @@
         assert_eq!(granted, Ok(()));
         assert_eq!(send(addr, keyed("r2")).await.status(), 200);
         let old = control.grant(addr, &name, &grant(4), limit).await;
-        assert_eq!(old, Err(KeyError::FenceOld));
+        assert_eq!(old, Err(KeyError::StaleFence));
         let other = ServerName::new("kits-02");
         let wrong = control.grant(addr, &other, &grant(6), limit).await;
         assert_eq!(wrong, Err(KeyError::OtherServer));
@@ -212,7 +212,7 @@
         fault(addr, &cold).await;
         for id in ["r1", "r2", "r3"] {
             let response = send(addr, lookup(id, "")).await;
-            assert!(response.headers().contains_key(call_header::COLD_LEFT));
+            assert!(response.headers().contains_key(call_header::WARMUP_LEFT));
         }
         let seen = ledger(addr).await.overruns;
         let found: Vec<_> = seen.iter().map(|o| (o.arrived, o.bears)).collect();
