--- a/crates/chicoryctl/src/organisation_settings.rs
+++ b/crates/chicoryctl/src/organisation_settings.rs
@@ -4,7 +4,7 @@
 use bpaf::construct;
 use bpaf::positional;
 use chicoryrail_core::OrganisationName;
-use chicoryrail_runtime::setting;
+use chicoryrail_runtime::setting_parser;
 
 /// An `organisation` command.
 #[derive(Clone, Debug, PartialEq)]
@@ -59,7 +59,7 @@
 }
 
 fn rate() -> impl Parser<f64> {
-    setting::<f64>(
+    setting_parser::<f64>(
         "rate",
         "CHICORYRAIL_RATE",
         "N",
@@ -69,7 +69,7 @@
 }
 
 fn burst() -> impl Parser<f64> {
-    setting::<f64>(
+    setting_parser::<f64>(
         "burst",
         "CHICORYRAIL_BURST",
         "N",
@@ -79,7 +79,7 @@
 }
 
 fn add() -> impl Parser<OrganisationCommand> {
-    let rank = setting::<u8>(
+    let rank = setting_parser::<u8>(
         "rank",
         "CHICORYRAIL_RANK",
         "N",
--- a/crates/chicoryctl/src/run.rs
+++ b/crates/chicoryctl/src/run.rs
@@ -6,7 +6,7 @@
 use chicoryrail_core::Millis;
 use chicoryrail_platform::KvStore;
 use chicoryrail_runtime::block_on;
-use chicoryrail_runtime::from_args;
+use chicoryrail_runtime::parse_args;
 
 use crate::Command;
 use crate::CtlError;
@@ -23,7 +23,7 @@
 /// Runs the command of the process's arguments; the entry point of the binary.
 #[must_use]
 pub fn main() -> ExitCode {
-    let settings = match from_args(&settings()) {
+    let settings = match parse_args(&settings()) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
--- a/crates/chicoryctl/src/settings.rs
+++ b/crates/chicoryctl/src/settings.rs
@@ -9,8 +9,8 @@
 use bpaf::positional;
 use chicoryrail_core::DcName;
 use chicoryrail_core::ServiceName;
-use chicoryrail_runtime::setting;
-use chicoryrail_runtime::switch_setting;
+use chicoryrail_runtime::setting_parser;
+use chicoryrail_runtime::switch_parser;
 
 use crate::OrganisationCommand;
 use crate::organisation_settings::organisation_commands;
@@ -71,14 +71,14 @@
 /// Parses flags, environment variables and the command.
 #[must_use]
 pub fn settings() -> OptionParser<Settings> {
-    let store = setting::<SocketAddr>(
+    let store = setting_parser::<SocketAddr>(
         "store",
         "CHICORYRAIL_STORE",
         "ADDR",
         "IP address and port of the platform's store",
     )
     .optional();
-    let json = switch_setting("json", "CHICORYRAIL_JSON", "Prints output as JSON");
+    let json = switch_parser("json", "CHICORYRAIL_JSON", "Prints output as JSON");
     let command = command();
     construct!(Settings {
         store,
@@ -126,7 +126,7 @@
 }
 
 fn config_commands() -> impl Parser<Command> {
-    let expect = setting::<u64>(
+    let expect = setting_parser::<u64>(
         "expect",
         "CHICORYRAIL_EXPECT",
         "N",
@@ -149,7 +149,7 @@
 }
 
 fn dc_commands() -> impl Parser<Command> {
-    let force = switch_setting(
+    let force = switch_parser(
         "force",
         "CHICORYRAIL_FORCE",
         "Goes ahead even if a service keeps less than half of its slots",
--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -66,7 +66,7 @@
             router
                 .source
                 .changed
-                .after(router.source.changed.count())
+                .wait_past(router.source.changed.version())
                 .await;
             continue;
         }
@@ -93,14 +93,14 @@
 async fn follow(router: Rc<Router>, feed: Feed) {
     let mut pause = RETRY_BACKOFF_MIN;
     loop {
-        let seen = router.source.changed.count();
+        let seen = router.source.changed.version();
         if !router.source.watches() {
-            router.source.changed.after(seen).await;
+            router.source.changed.wait_past(seen).await;
             continue;
         }
         let watch_end = {
             let watch = pin!(follow_once(&router, feed, &mut pause));
-            let changed = pin!(router.source.changed.after(seen));
+            let changed = pin!(router.source.changed.wait_past(seen));
             match select(watch, changed).await {
                 Either::Left((end, _)) => end,
                 Either::Right(_) => continue,
@@ -144,10 +144,10 @@
     }
     loop {
         let after = router.view.borrow().read_revision(feed).unwrap_or_default();
-        let recoveries = router.store_recovered.count();
+        let recoveries = router.store_recovered.version();
         let lost = router.store_lost.get();
         let watch = pin!(store.changes(&prefix, after, WATCH_MAX));
-        let recovered = pin!(router.store_recovered.after(recoveries));
+        let recovered = pin!(router.store_recovered.wait_past(recoveries));
         let changes = match select(watch, recovered).await {
             Either::Left((changes, _)) => changes,
             // The watch was sent before an outage, so its connection may be dead.
--- a/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
@@ -7,9 +7,9 @@
 use chicoryrail_core::Millis;
 use chicoryrail_ownership::HostState;
 use chicoryrail_platform::FeedNews;
-use chicoryrail_runtime::AnswerWait;
 use chicoryrail_runtime::HttpClient;
 use chicoryrail_runtime::HttpError;
+use chicoryrail_runtime::ResponseTimeouts;
 use http::Request;
 use http::Response;
 use http::header::ACCEPT_ENCODING;
@@ -70,7 +70,7 @@
 pub(crate) async fn follow_relay(router: Rc<Router>) {
     let client = HttpClient::default();
     loop {
-        let seen = router.source.changed.count();
+        let seen = router.source.changed.version();
         let relay = match router.source.source.get() {
             Source::Relay(addr) => Some(addr),
             Source::Store if !router.source.core.get() => {
@@ -84,7 +84,7 @@
         let Some(addr) = relay else {
             let _ = timeout(
                 RELAY_RETRY_INTERVAL.to_duration(),
-                router.source.changed.after(seen),
+                router.source.changed.wait_past(seen),
             )
             .await;
             continue;
@@ -125,14 +125,14 @@
     let request = Request::post(RELAY_PATH).header(ACCEPT_ENCODING, ENCODING);
     let request = request.body(Bytes::from(bytes));
     let request = request.expect("a fixed path and header are a valid request");
-    let wait = AnswerWait {
-        first: POLL_MAX + REPLY_SLACK,
-        further: REPLY_SLACK,
+    let timeouts = ResponseTimeouts {
+        first_piece: POLL_MAX + REPLY_SLACK,
+        next_piece: REPLY_SLACK,
     };
     // A reply that is still arriving counts as one, so that a leaf host does not turn to the store meanwhile.
     let arrived = || router.source.last_reply.set(router.now());
     let sent = router.now();
-    let response = client.call_while_arriving(addr, request, wait, arrived);
+    let response = client.call_while_receiving(addr, request, timeouts, arrived);
     let response = response.await.context(CallSnafu)?;
     log_large_reply(addr, &response, router.now().since(sent));
     read_reply(&response)
--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -8,9 +8,9 @@
 use chicoryrail_core::ServiceName;
 use chicoryrail_ownership::HostState;
 use chicoryrail_runtime::Body;
-use chicoryrail_runtime::collect;
-use chicoryrail_runtime::error_answer;
-use chicoryrail_runtime::full;
+use chicoryrail_runtime::collect_body;
+use chicoryrail_runtime::error_response;
+use chicoryrail_runtime::full_body;
 use http::HeaderValue;
 use http::Request;
 use http::Response;
@@ -42,15 +42,15 @@
 /// Replies to a host that follows this one when there are changes for it, or after [`POLL_MAX`].
 pub(crate) async fn serve_relay(router: Rc<Router>, request: Request<Body>) -> Response<Body> {
     if request.uri().path() != RELAY_PATH {
-        return error_answer(404, "no such page");
+        return error_response(404, "no such page");
     }
     let accepted = request.headers().get(ACCEPT_ENCODING);
     let compressed = accepted.is_some_and(|e| e == ENCODING);
-    let Ok(body) = collect(request.into_body(), REQUEST_BYTES_MAX).await else {
-        return error_answer(400, "the request was cut or is too long");
+    let Ok(body) = collect_body(request.into_body(), REQUEST_BYTES_MAX).await else {
+        return error_response(400, "the request was cut or is too long");
     };
     let Ok(poll) = decode::<RelayRequest>(&body) else {
-        return error_answer(400, "the request can't be read");
+        return error_response(400, "the request can't be read");
     };
     if poll.leaf {
         let mut requests = router.leaf_requests.borrow_mut();
@@ -59,19 +59,19 @@
     let received = router.now();
     let end = received + POLL_MAX;
     loop {
-        let seen = router.feed_changed.count();
+        let seen = router.feed_changed.version();
         let remaining = end.since(router.now());
         if remaining == Millis::ZERO || has_changes(&router, &poll) {
             break;
         }
-        let _ = timeout(remaining.to_duration(), router.feed_changed.after(seen)).await;
+        let _ = timeout(remaining.to_duration(), router.feed_changed.wait_past(seen)).await;
     }
     match encode(&reply(&router, &poll, received)) {
         Ok(bytes) if compressed => compressed_response(bytes),
-        Ok(bytes) => Response::new(full(bytes)),
+        Ok(bytes) => Response::new(full_body(bytes)),
         Err(e) => {
             log::error!(error:% = e; "relay_unwritable");
-            error_answer(500, "the reply can't be written")
+            error_response(500, "the reply can't be written")
         }
     }
 }
@@ -79,9 +79,9 @@
 /// Returns a compressed reply, which takes less of a slow link; a short message stays uncompressed.
 fn compressed_response(bytes: Vec<u8>) -> Response<Body> {
     let Some(compressed) = compress(&bytes) else {
-        return Response::new(full(bytes));
+        return Response::new(full_body(bytes));
     };
-    let mut response = Response::new(full(compressed));
+    let mut response = Response::new(full_body(compressed));
     let encoding = HeaderValue::from_static(ENCODING);
     response.headers_mut().insert(CONTENT_ENCODING, encoding);
     response
--- a/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
@@ -20,12 +20,16 @@
 /// about other keys. Only a read verifies that the configuration is current, as of the time when the read was sent.
 pub(crate) async fn verify_config(router: Rc<Router>) {
     loop {
-        let changed = router.source.changed.count();
+        let changed = router.source.changed.version();
         let pause = match needs_verification(&router) {
             false => VERIFICATION_INTERVAL,
             true => read_config(&router).await,
         };
-        let _ = timeout(pause.to_duration(), router.source.changed.after(changed)).await;
+        let _ = timeout(
+            pause.to_duration(),
+            router.source.changed.wait_past(changed),
+        )
+        .await;
     }
 }
 
--- a/crates/chicoryrail-router/src/control/gossip.rs
+++ b/crates/chicoryrail-router/src/control/gossip.rs
@@ -109,13 +109,13 @@
                 self.router.process.clock.sleep(CORE_POLL_INTERVAL).await;
                 continue;
             }
-            let seen = self.leadership.changed.count();
+            let seen = self.leadership.changed.version();
             let leads = self.router.leading_term.get() > 0;
             let heartbeat = Packet::Heartbeat(self.heartbeat(leads));
             let addrs = self.router.peers.borrow().addrs();
             self.router.peer_socket.send_all(&heartbeat, &addrs).await;
             self.report_service_rates(leads, &addrs).await;
-            let change = self.leadership.changed.after(seen);
+            let change = self.leadership.changed.wait_past(seen);
             let _ = monoio::time::timeout(HEARTBEAT_INTERVAL.to_duration(), change).await;
         }
     }
--- a/crates/chicoryrail-router/src/control/leader/key_calls.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_calls.rs
@@ -34,7 +34,7 @@
             Ok(revision) => {
                 let before = self.stored_fence.replace(record.fence);
                 let invariants = &self.router.process.invariants;
-                invariants.rises(Invariant::FenceForward, &before, &record.fence);
+                invariants.check_increases(Invariant::FenceForward, &before, &record.fence);
                 self.revision.set(revision);
                 self.leases.borrow_mut().record_written(now);
                 log::info!(service:% = self.service, fence = record.fence, revision = revision,
--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -17,7 +17,7 @@
 use chicoryrail_platform::KeyGrant;
 use chicoryrail_platform::OWN_PREFIX;
 use chicoryrail_platform::StoreError;
-use chicoryrail_runtime::Signal;
+use chicoryrail_runtime::ChangeSignal;
 use monoio::time::timeout;
 
 use crate::control::config_feed::follow::store_call;
@@ -51,7 +51,7 @@
     pub(super) balanced_at: Cell<Millis>,
     pub(super) committing: Cell<bool>,
     /// Notified when a call to the store or a server has ended.
-    pub(super) call_ended: Signal,
+    pub(super) call_ended: ChangeSignal,
 }
 
 /// Starts a [`KeyLeader`] for each keyed service, until the term ends.
@@ -131,7 +131,7 @@
         stored_fence: Cell::new(stored_fence),
         balanced_at: Cell::new(now),
         committing: Cell::new(false),
-        call_ended: Signal::default(),
+        call_ended: ChangeSignal::default(),
     })
 }
 
@@ -139,7 +139,7 @@
     async fn run(self: Rc<Self>) {
         let mut announced = None;
         while self.leadership.term.get() == self.term {
-            let ended = self.call_ended.count();
+            let ended = self.call_ended.version();
             let outage = self.router.store_down_everywhere(self.router.now());
             self.leases.borrow_mut().set_store_down(outage);
             self.update_servers();
@@ -164,7 +164,7 @@
             // call for the range before it, and a pause after each call would add up.
             let _ = timeout(
                 BUSY_CHECK_INTERVAL.to_duration(),
-                self.call_ended.after(ended),
+                self.call_ended.wait_past(ended),
             )
             .await;
         }
--- a/crates/chicoryrail-router/src/control/leader/leader_term.rs
+++ b/crates/chicoryrail-router/src/control/leader/leader_term.rs
@@ -10,7 +10,7 @@
 use chicoryrail_ownership::keys::KeyLoad;
 use chicoryrail_ownership::keys::KeyRange;
 use chicoryrail_ownership::keys::KeyRecord;
-use chicoryrail_runtime::Signal;
+use chicoryrail_runtime::ChangeSignal;
 
 use crate::messages::ServerPace;
 use crate::state::Router;
@@ -37,7 +37,7 @@
     /// Record of each keyed service, with the ranges that are not granted yet.
     pub(crate) key_updates: RefCell<BTreeMap<ServiceName, (KeyRecord, Vec<KeyRange>)>>,
     /// Notified when `key_updates` or the leadership changes.
-    pub(crate) changed: Signal,
+    pub(crate) changed: ChangeSignal,
     key_loads: RefCell<BTreeMap<ServiceName, KeyLoad>>,
     /// Service rates of servers, as reported by the hosts that schedule for them.
     service_rates: RefCell<BTreeMap<Life, ServerPace>>,
--- a/crates/chicoryrail-router/src/control/quota/leases.rs
+++ b/crates/chicoryrail-router/src/control/quota/leases.rs
@@ -108,10 +108,10 @@
             router.process.clock.sleep(IDLE_INTERVAL).await;
             continue;
         }
-        let low = router.quota.low_tokens.count();
+        let low = router.quota.low_tokens.version();
         router.process.clock.sleep(REPORT_INTERVAL_LOW).await;
         let left = REPORT_INTERVAL - REPORT_INTERVAL_LOW;
-        let _ = timeout(left.to_duration(), router.quota.low_tokens.after(low)).await;
+        let _ = timeout(left.to_duration(), router.quota.low_tokens.wait_past(low)).await;
         send_reports(&router, &pools).await;
     }
 }
--- a/crates/chicoryrail-router/src/log_line.rs
+++ b/crates/chicoryrail-router/src/log_line.rs
@@ -20,7 +20,7 @@
     let started = env_logger::Builder::from_env(env)
         .format(move |_, record| {
             let of_request = record.key_values().get(kv::Key::from("request")).is_some();
-            sink.line(line(&host, record).as_bytes(), of_request);
+            sink.write_line(line(&host, record).as_bytes(), of_request);
             Ok(())
         })
         .target(env_logger::Target::Pipe(Box::new(io::sink())))
--- a/crates/chicoryrail-router/src/options.rs
+++ b/crates/chicoryrail-router/src/options.rs
@@ -4,7 +4,7 @@
 use bpaf::Parser;
 use bpaf::construct;
 use bpaf::long;
-use chicoryrail_runtime::setting;
+use chicoryrail_runtime::setting_parser;
 
 /// Default maximum of log lines per second: enough for all failures of a small host and a share of its other
 /// requests. It bounds the cost of logging when many requests fail at once.
@@ -29,21 +29,21 @@
 /// Returns the parser of the command line and the environment.
 #[must_use]
 pub fn options() -> OptionParser<Options> {
-    let metrics_port = setting(
+    let metrics_port = setting_parser(
         "metrics-port",
         "CHICORYRAIL_METRICS_PORT",
         "PORT",
         "Port that serves metrics, on the host's own address",
     )
     .optional();
-    let log_lines = setting(
+    let log_lines = setting_parser(
         "log-lines",
         "CHICORYRAIL_LOG_LINES",
         "N",
         "Maximum number of log lines per second (150)",
     )
     .fallback(LOG_LINES_DEFAULT);
-    let log_ordinary = setting(
+    let log_ordinary = setting_parser(
         "log-ordinary",
         "CHICORYRAIL_LOG_ORDINARY",
         "N",
--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -156,7 +156,7 @@
         let latency_target = self.call.route.latency_target;
         let started = self.router.now();
         loop {
-            let seen = self.service.changed.count();
+            let seen = self.service.changed.version();
             let now = self.router.now();
             let left = self.call.time_left(now);
             if left < SEND_TIME_MIN {
@@ -177,7 +177,7 @@
             }
             let _ = timeout(
                 TARGET_POLL_INTERVAL.to_duration(),
-                self.service.changed.after(seen),
+                self.service.changed.wait_past(seen),
             )
             .await;
         }
@@ -190,7 +190,7 @@
         let has_alternative = self.call.is_idempotent()
             && self.call.key.is_none()
             && self.may_have_run + 1 < self.call.route.max_attempts
-            && self.body.is_whole();
+            && self.body.is_replayable();
         // While this process stops, a request that is cancelled to be retried may end with an error of this host
         // instead of the server's response: the shutdown would have lost it.
         if !has_alternative || self.router.process.stop.is_cancelled() {
@@ -212,7 +212,7 @@
         let may = (not_run || self.call.is_idempotent())
             && self.may_have_run < self.call.route.max_attempts
             && self.tried.len() < 2 + self.call.route.max_attempts as usize
-            && self.body.is_whole()
+            && self.body.is_replayable()
             && self.call.time_left(self.router.now()) > SEND_TIME_MIN;
         if !may || !reached_server {
             return may;
--- a/crates/chicoryrail-router/src/route/call.rs
+++ b/crates/chicoryrail-router/src/route/call.rs
@@ -82,7 +82,7 @@
         let route = find_route(&site, &head).ok_or(Cause::NoRoute)?;
         let service = pick_service(router, &site, &route);
         let organisation = authenticate(router, &site, &route, &head.headers, arrived)?;
-        let mut headers = chicoryrail_runtime::end_to_end(head.headers);
+        let mut headers = chicoryrail_runtime::strip_hop_by_hop(head.headers);
         set_organisation_header(&mut headers, organisation.as_deref())?;
         let key = if service.keyed {
             let value = headers.get(call_header::KEY).ok_or(Cause::NoKey)?;
--- a/crates/chicoryrail-router/src/route/caller.rs
+++ b/crates/chicoryrail-router/src/route/caller.rs
@@ -7,7 +7,7 @@
 use chicoryrail_core::RouteKind;
 use chicoryrail_platform::call_header;
 use chicoryrail_runtime::Body;
-use chicoryrail_runtime::BodyFault;
+use chicoryrail_runtime::BodyError;
 use chicoryrail_runtime::Invariant;
 use chicoryrail_runtime::RequestBody;
 use http::HeaderValue;
@@ -58,12 +58,12 @@
 /// refused caller would retry.
 async fn await_config(router: &Router) {
     while router.site().is_none() {
-        let seen = router.feed_changed.count();
+        let seen = router.feed_changed.version();
         let time_left = FIRST_CONFIG_WAIT_MAX.since(router.now());
         if time_left == Millis::ZERO {
             return;
         }
-        let _ = timeout(time_left.to_duration(), router.feed_changed.after(seen)).await;
+        let _ = timeout(time_left.to_duration(), router.feed_changed.wait_past(seen)).await;
     }
 }
 
@@ -134,10 +134,10 @@
     let time_left = call.time_left(router.now());
     body.prefetch(time_left)
         .await
-        .map_err(|fault| match fault {
-            BodyFault::TooLarge => Cause::TooLarge,
-            BodyFault::Slow => Cause::SlowBody,
-            BodyFault::Cut => Cause::BadBody,
+        .map_err(|error| match error {
+            BodyError::TooLarge => Cause::TooLarge,
+            BodyError::Slow => Cause::SlowBody,
+            BodyError::Cut => Cause::BadBody,
         })?;
     attempts::run(router, call, body).await
 }
--- a/crates/chicoryrail-router/src/route/in_flight.rs
+++ b/crates/chicoryrail-router/src/route/in_flight.rs
@@ -41,7 +41,7 @@
     pub(crate) fn complete(mut self, reuse: bool) {
         let conn = self.conn.take().filter(|_| reuse && self.target.is_ready());
         if let Some(conn) = conn {
-            self.target.pool.put(conn);
+            self.target.pool.release(conn);
         }
     }
 }
--- a/crates/chicoryrail-router/src/route/refusal.rs
+++ b/crates/chicoryrail-router/src/route/refusal.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use chicoryrail_core::Millis;
 use chicoryrail_runtime::Body;
-use chicoryrail_runtime::full;
+use chicoryrail_runtime::full_body;
 use http::HeaderValue;
 use http::Response;
 use http::StatusCode;
@@ -112,7 +112,7 @@
     /// Builds the response to the caller.
     pub(crate) fn into_response(self) -> Response<Body> {
         let text = format!("{}\n", self.cause.name());
-        let mut response = Response::new(full(Bytes::from(text)));
+        let mut response = Response::new(full_body(Bytes::from(text)));
         *response.status_mut() = self.cause.status();
         if response.status() == StatusCode::UNAUTHORIZED {
             let headers = response.headers_mut();
--- a/crates/chicoryrail-router/src/route/response_body.rs
+++ b/crates/chicoryrail-router/src/route/response_body.rs
@@ -10,7 +10,7 @@
 use bytes::BytesMut;
 use chicoryrail_core::RouteKind;
 use chicoryrail_runtime::Body;
-use chicoryrail_runtime::full;
+use chicoryrail_runtime::full_body;
 use hyper::body::Body as HttpBody;
 use hyper::body::Frame;
 use hyper::body::Incoming;
@@ -69,7 +69,7 @@
     match start {
         BodyStart::Whole(bytes) => {
             in_flight.complete(reuse);
-            full(bytes)
+            full_body(bytes)
         }
         BodyStart::Partial(first, rest) => Box::pin(StreamedBody {
             first: Some(first),
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -12,8 +12,8 @@
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::Invariant;
 use chicoryrail_runtime::RequestBody;
-use chicoryrail_runtime::end_to_end;
-use chicoryrail_runtime::says_close;
+use chicoryrail_runtime::is_connection_close;
+use chicoryrail_runtime::strip_hop_by_hop;
 use http::HeaderMap;
 use http::HeaderValue;
 use http::Request;
@@ -159,7 +159,7 @@
     body: &Rc<RequestBody>,
     mut in_flight: InFlight,
 ) -> SendOutcome {
-    let conn = match target.pool.take(target.addr).await {
+    let conn = match target.pool.acquire(target.addr).await {
         Ok(conn) => conn,
         Err(e) => {
             log::debug!(request = call.id, server:% = target.life, error:% = e; "connect");
@@ -168,7 +168,7 @@
     };
     let conn = in_flight.attach(conn);
     let request = new_request(call, target, body, router.now());
-    let response = match conn.send.try_send_request(request).await {
+    let response = match conn.sender.try_send_request(request).await {
         Ok(response) => response,
         Err(mut error) => {
             // The error returns the request only if it was never written.
@@ -216,13 +216,13 @@
     if !stamped || echoed.is_none() || head.headers.contains_key(CONTENT_ENCODING) {
         return SendOutcome::Indeterminate(Indeterminate::Spoiled);
     }
-    let reuse = !says_close(&head.headers);
+    let reuse = !is_connection_close(&head.headers);
     let start =
         match response_body::read_start(body, response_body::buffer_limit(call.route.kind)).await {
             Ok(start) => start,
             Err(_) => return SendOutcome::Indeterminate(Indeterminate::Spoiled),
         };
-    head.headers = end_to_end(head.headers);
+    head.headers = strip_hop_by_hop(head.headers);
     head.version = http::Version::HTTP_11;
     head.extensions.clear();
     let is_server_error = head.status.is_server_error();
--- a/crates/chicoryrail-router/src/route/slot_query.rs
+++ b/crates/chicoryrail-router/src/route/slot_query.rs
@@ -56,7 +56,7 @@
 ) -> Decision {
     let part = initial_part(router, service);
     let scheduler = scheduler_for(router, service, &part, call);
-    let (ticket, pending_reply) = router.pending_queries.open(router.process.instance);
+    let (ticket, pending_reply) = router.pending_queries.open(router.process.instance_id);
     let mut query = PendingQuery {
         router,
         part,
@@ -70,7 +70,7 @@
     query.send(call, tried);
     let mut resent = false;
     loop {
-        let seen = pending_reply.changed.count();
+        let seen = pending_reply.changed.version();
         match pending_reply.take() {
             Some(SlotReply::Send(life)) => {
                 query.pending = false;
@@ -139,7 +139,7 @@
             resend_after
         };
         let wait = next_step.since(silence).min(call.time_left(now)) + Millis(1);
-        let changed = pin!(pending_reply.changed.after(seen));
+        let changed = pin!(pending_reply.changed.wait_past(seen));
         let _ = timeout(wait.to_duration(), changed).await;
     }
 }
--- a/crates/chicoryrail-router/src/run.rs
+++ b/crates/chicoryrail-router/src/run.rs
@@ -11,11 +11,11 @@
 use chicoryrail_runtime::LogSink;
 use chicoryrail_runtime::ReloadSignals;
 use chicoryrail_runtime::SettingError;
-use chicoryrail_runtime::bind;
+use chicoryrail_runtime::bind_listener;
 use chicoryrail_runtime::block_on;
-use chicoryrail_runtime::error_answer;
-use chicoryrail_runtime::exit_with;
-use chicoryrail_runtime::from_args;
+use chicoryrail_runtime::error_response;
+use chicoryrail_runtime::exit_with_error;
+use chicoryrail_runtime::parse_args;
 use chicoryrail_runtime::serve_http;
 use chicoryrail_runtime::serve_http_shared;
 use chicoryrail_runtime::stop_on_signal;
@@ -82,13 +82,13 @@
 /// Reads the settings, runs the router until a stop signal and returns the exit code.
 #[must_use]
 pub fn run_from_args() -> ExitCode {
-    let options = match from_args(&options()) {
+    let options = match parse_args(&options()) {
         Ok(options) => options,
         Err(code) => return code,
     };
     let boot = match Boot::read() {
         Ok(boot) => boot,
-        Err(e) => return exit_with(&e.to_string()),
+        Err(e) => return exit_with_error(&e.to_string()),
     };
     if options.check {
         println!("{boot:#?}\n{options:#?}");
@@ -103,7 +103,7 @@
     sink.flush();
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => exit_with(&e.to_string()),
+        Err(e) => exit_with_error(&e.to_string()),
     }
 }
 
@@ -161,7 +161,7 @@
     monoio::spawn(verify_config(Rc::clone(&router)));
     monoio::spawn(report_quota_use(Rc::clone(&router), pools));
     let elected = monoio::spawn(run_election(Rc::clone(&router), leadership));
-    let listener = bind("callers", callers).context(ListenSnafu)?;
+    let listener = bind_listener("callers", callers).context(ListenSnafu)?;
     let callers_stop = CancellationToken::new();
     let (serving, early_router) = (Rc::clone(&router), Rc::clone(&router));
     let served = monoio::spawn(serve_http_shared(
@@ -221,11 +221,11 @@
     addr: SocketAddr,
     stop: &CancellationToken,
 ) -> Result<(), RunError> {
-    let listener = bind(flag, addr).context(ListenSnafu)?;
+    let listener = bind_listener(flag, addr).context(ListenSnafu)?;
     let router = Rc::clone(router);
     let respond = move |request: http::Request<chicoryrail_runtime::Body>, _| {
-        let found = router.process.observe(&request);
-        let response = found.unwrap_or_else(|| error_answer(404, "no such page"));
+        let found = router.process.handle_management(&request);
+        let response = found.unwrap_or_else(|| error_response(404, "no such page"));
         async move { response }
     };
     monoio::spawn(serve_http(
@@ -243,7 +243,7 @@
     addr: SocketAddr,
     stop: &CancellationToken,
 ) -> Result<(), RunError> {
-    let listener = bind("relay", addr).context(ListenSnafu)?;
+    let listener = bind_listener("relay", addr).context(ListenSnafu)?;
     let router = Rc::clone(router);
     let respond = move |request, _| serve_relay(Rc::clone(&router), request);
     let limits = HttpLimits::default();
--- a/crates/chicoryrail-router/src/state/apply.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -94,9 +94,9 @@
                 self.quota.set(site);
             }
             let mut limits = self.limits.get();
-            limits.head = site.limits.max_head;
-            limits.head_time = site.limits.head_timeout;
-            limits.idle = site.limits.idle_timeout;
+            limits.max_head_bytes = site.limits.max_head;
+            limits.head_timeout = site.limits.head_timeout;
+            limits.idle_timeout = site.limits.idle_timeout;
             self.limits.set(limits);
         }
         let mut present: HashMap<ServiceName, Vec<Life>> = HashMap::new();
@@ -113,7 +113,7 @@
                 let keep = lives.contains(life);
                 if !keep {
                     target.admission.set(Admission::Closed);
-                    target.pool.clear();
+                    target.pool.close_idle();
                     service.loads.borrow_mut().remove(target.id);
                 }
                 keep
@@ -163,7 +163,7 @@
         service.keyed.set(spec.is_some_and(|s| s.keyed));
         let connections = spec.map_or(u32::MAX, |s| s.max_connections);
         let share = connections / self.peers.borrow().sharing_hosts() as u32;
-        target.pool.set_cap(member.slots, share.max(2));
+        target.pool.set_max_connections(member.slots, share.max(2));
         let admission = if view.is_drained(&member.dc) {
             Admission::Closed
         } else if entry.is_ready() && entry.missing.is_none() {
@@ -173,7 +173,7 @@
             Admission::Draining(drain_end(since, self.boot().bounds.drain_timeout))
         };
         if admission == Admission::Closed || !entry.is_ready() {
-            target.pool.clear();
+            target.pool.close_idle();
         }
         target.admission.set(admission);
     }
@@ -183,7 +183,7 @@
         match change {
             ViewChange::Config { from, to, invalid } => {
                 let invariants = &self.process.invariants;
-                invariants.rises(Invariant::ConfigForward, from, to);
+                invariants.check_increases(Invariant::ConfigForward, from, to);
                 log::info!(from = from, version = to, revision = revision; "config_in_force");
                 self.counters.invalid_values.inc_by(invalid.len() as u64);
                 for e in invalid {
@@ -201,7 +201,8 @@
                 let entry = view.servers().find(|e| e.member.life.name == *name);
                 if let Some(ServerEntry { member, .. }) = entry {
                     log::info!(server:% = member.life, service:% = member.service, dc:% = member.dc,
-                        state:? = member.state, cold_ms = member.warmup_left.0, revision = revision; "server");
+                        state:? = member.state, cold_ms = member.warmup_left.0, revision = revision;
+                        "server");
                 }
             }
             ViewChange::ServerGone(name) => {
--- a/crates/chicoryrail-router/src/state/counters.rs
+++ b/crates/chicoryrail-router/src/state/counters.rs
@@ -58,27 +58,27 @@
     /// Creates the metrics and registers them in `metrics`.
     pub(crate) fn new(metrics: &Metrics) -> Self {
         Self {
-            requests: metrics.counters(
+            requests: metrics.counter_family(
                 "requests_total",
                 "Requests that ended, by service and outcome",
                 &["service", "outcome"],
             ),
-            refusals: metrics.counters(
+            refusals: metrics.counter_family(
                 "refusals_total",
                 "Requests that this host refused, by service and cause",
                 &["service", "cause"],
             ),
-            sends: metrics.counters(
+            sends: metrics.counter_family(
                 "sends_total",
                 "Attempts at servers, by service and result",
                 &["service", "end"],
             ),
-            store_calls: metrics.counters(
+            store_calls: metrics.counter_family(
                 "store_calls_total",
                 "Calls to the store, by kind and result",
                 &["call", "result"],
             ),
-            key_calls: metrics.counters(
+            key_calls: metrics.counter_family(
                 "key_calls_total",
                 "Calls that grant or release keys, by kind and result",
                 &["call", "result"],
@@ -91,22 +91,22 @@
                 "config_unknown_words_total",
                 "Unknown values in configurations in force, each counted once per version",
             ),
-            request_time: metrics.seconds_by(
+            request_time: metrics.histogram_family(
                 "request_seconds",
                 "Time from arrival to response, by service, kind (read, download, order), outcome",
                 &["service", "kind", "outcome"],
             ),
-            wait_time: metrics.seconds_by(
+            wait_time: metrics.histogram_family(
                 "wait_seconds",
                 "Time that requests waited for a server, by service",
                 &["service"],
             ),
-            store_time: metrics.seconds_by(
+            store_time: metrics.histogram_family(
                 "store_seconds",
                 "Duration of calls to the store, by kind",
                 &["call"],
             ),
-            key_time: metrics.seconds_by(
+            key_time: metrics.histogram_family(
                 "key_seconds",
                 "Duration of calls that grant or release keys, by kind",
                 &["call"],
@@ -118,7 +118,7 @@
                 "config_age_ms",
                 "Time since the configuration was verified, in milliseconds; -1 if it never was",
             ),
-            over_quota: metrics.counters(
+            over_quota: metrics.counter_family(
                 "over_quota_total",
                 "Requests refused because their organisation exceeded its limit, by organisation",
                 &["organisation"],
--- a/crates/chicoryrail-router/src/state/pending_queries.rs
+++ b/crates/chicoryrail-router/src/state/pending_queries.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use chicoryrail_runtime::Signal;
+use chicoryrail_runtime::ChangeSignal;
 
 use crate::messages::SlotReply;
 
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PendingQuery {
     reply: RefCell<Option<SlotReply>>,
-    pub(crate) changed: Signal,
+    pub(crate) changed: ChangeSignal,
 }
 
 impl PendingQuery {
--- a/crates/chicoryrail-router/src/state/quota_shares.rs
+++ b/crates/chicoryrail-router/src/state/quota_shares.rs
@@ -14,7 +14,7 @@
 use chicoryrail_policy::QuotaReport;
 use chicoryrail_policy::QuotaShare;
 use chicoryrail_policy::ShareParams;
-use chicoryrail_runtime::Signal;
+use chicoryrail_runtime::ChangeSignal;
 
 use crate::state::Router;
 
@@ -31,7 +31,7 @@
     /// When the leader last replied to a report; `None` if it has not since this process started.
     last_reply: Cell<Option<Millis>>,
     /// Notified when an organisation runs low on tokens.
-    pub(crate) low_tokens: Signal,
+    pub(crate) low_tokens: ChangeSignal,
     /// When each waiting request began to wait for a token, by ticket.
     waiting: RefCell<HashMap<u64, Millis>>,
 }
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -24,10 +24,10 @@
 use chicoryrail_policy::QuotaTolerance;
 use chicoryrail_policy::RetryLimits;
 use chicoryrail_policy::WeightedRoundRobin;
+use chicoryrail_runtime::ChangeSignal;
 use chicoryrail_runtime::HttpLimits;
 use chicoryrail_runtime::Process;
 use chicoryrail_runtime::SharedLimits;
-use chicoryrail_runtime::Signal;
 
 use crate::Options;
 use crate::messages::FEED_COUNT;
@@ -92,7 +92,7 @@
     /// Rate-limit tokens of organisations, for the requests that this host schedules.
     pub(crate) quota: QuotaShares,
     /// Notified when the store answers again after an outage.
-    pub(crate) store_recovered: Signal,
+    pub(crate) store_recovered: ChangeSignal,
     /// When the store last failed to answer.
     pub(crate) store_lost: Cell<Option<Millis>>,
     /// Term in which this host leads; 0 while it does not.
@@ -102,7 +102,7 @@
     /// Recent changes of each feed of the store, for the hosts that use this one as relay.
     pub(crate) feed_logs: RefCell<[FeedLog; FEED_COUNT]>,
     /// Notified when there may be updates for the hosts that use this one as relay.
-    pub(crate) feed_changed: Signal,
+    pub(crate) feed_changed: ChangeSignal,
     /// Time of the last request of each leaf host that uses this one as relay.
     pub(crate) leaf_requests: RefCell<HashMap<HostName, Millis>>,
     services: RefCell<HashMap<ServiceName, Rc<Service>>>,
@@ -117,7 +117,7 @@
     pub(crate) fn new(boot: Boot, options: Options, peer_socket: &Rc<PeerSocket>) -> Rc<Self> {
         let process = Process::new();
         let limits = HttpLimits {
-            connections: max_connections(&boot),
+            max_connections: max_connections(&boot),
             ..HttpLimits::default()
         };
         Rc::new(Self {
@@ -135,12 +135,12 @@
             schedulers: Schedulers::default(),
             organisations: Organisations::new(),
             quota: QuotaShares::default(),
-            store_recovered: Signal::default(),
+            store_recovered: ChangeSignal::default(),
             store_lost: Cell::new(None),
             leading_term: Cell::new(0),
             source: SourceState::default(),
             feed_logs: RefCell::default(),
-            feed_changed: Signal::default(),
+            feed_changed: ChangeSignal::default(),
             leaf_requests: RefCell::default(),
             services: RefCell::default(),
             turns: RefCell::default(),
@@ -370,7 +370,7 @@
     pub(crate) fn next_weighted(&self, route: &str, weights: &[u32]) -> usize {
         let mut turns = self.turns.borrow_mut();
         let turn = turns.entry(route.to_owned()).or_default();
-        let start = (self.process.instance % 1_000) as f64 / 1_000.0;
+        let start = (self.process.instance_id % 1_000) as f64 / 1_000.0;
         turn.next(weights, start)
     }
 
--- a/crates/chicoryrail-router/src/state/service.rs
+++ b/crates/chicoryrail-router/src/state/service.rs
@@ -14,7 +14,7 @@
 use chicoryrail_policy::LocalBalancer;
 use chicoryrail_policy::RetryBudget;
 use chicoryrail_policy::ServerId;
-use chicoryrail_runtime::Signal;
+use chicoryrail_runtime::ChangeSignal;
 
 use crate::messages::PartName;
 use crate::state::Target;
@@ -38,7 +38,7 @@
     /// Owners of the keys, if the service is keyed.
     pub(crate) keys: RefCell<KeyView>,
     /// Notified when a request ends at a server, or when servers or key owners change.
-    pub(crate) changed: Signal,
+    pub(crate) changed: ChangeSignal,
     /// Keys of requests since the last report to the leader.
     pub(crate) requested_keys: RefCell<Vec<u16>>,
     /// Servers of the service, by incarnation.
@@ -57,7 +57,7 @@
             loads: RefCell::default(),
             retries: RefCell::default(),
             keys: RefCell::default(),
-            changed: Signal::default(),
+            changed: ChangeSignal::default(),
             requested_keys: RefCell::default(),
             targets: RefCell::default(),
             keyed: Cell::new(false),
--- a/crates/chicoryrail-router/src/state/source.rs
+++ b/crates/chicoryrail-router/src/state/source.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use chicoryrail_core::Millis;
-use chicoryrail_runtime::Signal;
+use chicoryrail_runtime::ChangeSignal;
 
 /// Where this host reads the content of the store from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     pub(crate) core_known_at: Cell<Option<Millis>>,
     pub(crate) source: Cell<Source>,
     /// Notified when the source changes.
-    pub(crate) changed: Signal,
+    pub(crate) changed: ChangeSignal,
     /// Time of the last reply of a relay.
     pub(crate) last_reply: Cell<Millis>,
 }
--- a/crates/chicoryrail-runtime/src/bind.rs
+++ b/crates/chicoryrail-runtime/src/bind.rs
@@ -20,15 +20,15 @@
 /// # Example
 ///
 /// ```
-/// use chicoryrail_runtime::bind;
+/// use chicoryrail_runtime::bind_listener;
 ///
 /// chicoryrail_runtime::block_on(async {
-///     let first = bind("listen", "127.0.0.1:0".parse().unwrap()).unwrap();
-///     let error = bind("listen", first.local_addr().unwrap()).unwrap_err();
+///     let first = bind_listener("listen", "127.0.0.1:0".parse().unwrap()).unwrap();
+///     let error = bind_listener("listen", first.local_addr().unwrap()).unwrap_err();
 ///     assert_eq!(error.flag, "listen");
 /// });
 /// ```
-pub fn bind(flag: &'static str, addr: SocketAddr) -> Result<TcpListener, SettingError> {
+pub fn bind_listener(flag: &'static str, addr: SocketAddr) -> Result<TcpListener, SettingError> {
     let opts = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(addr, &opts).map_err(|e| SettingError {
         flag,
--- a/crates/chicoryrail-runtime/src/body.rs
+++ b/crates/chicoryrail-runtime/src/body.rs
@@ -13,13 +13,13 @@
 pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = io::Error>>>;
 
 /// Returns a body of bytes that are already in memory.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Box::pin(Full::new(bytes.into()).map_err(|e| match e {}))
 }
 
 /// Returns an empty body.
 #[must_use]
-pub fn empty() -> Body {
+pub fn empty_body() -> Body {
     Box::pin(Empty::new().map_err(|e| match e {}))
 }
 
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// Returns `InvalidData` if the body is longer than `limit`, and the transport's error if it ends early.
-pub async fn collect<B>(body: B, limit: usize) -> io::Result<Bytes>
+pub async fn collect_body<B>(body: B, limit: usize) -> io::Result<Bytes>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -36,7 +36,7 @@
     collect_with_progress(body, limit, |_| {}).await
 }
 
-/// Reads a body like [`collect`] and calls `on_data` with each data frame.
+/// Reads a body like [`collect_body`] and calls `on_data` with each data frame.
 pub(crate) async fn collect_with_progress<B>(
     body: B,
     limit: usize,
--- a/crates/chicoryrail-runtime/src/callers/http_server.rs
+++ b/crates/chicoryrail-runtime/src/callers/http_server.rs
@@ -42,32 +42,32 @@
 use crate::callers::caller_io::InFlight;
 use crate::callers::pipeline::Callbacks;
 use crate::callers::pipeline::Pipeline;
-use crate::says_close;
+use crate::is_connection_close;
 
 /// Limits on what callers may use of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
     /// Largest request head in bytes. Values below 8192 count as 8192.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Largest number of headers of a request.
-    pub headers: usize,
+    pub max_headers: usize,
     /// Timeout for receiving a request head, from its first byte.
-    pub head_time: Millis,
+    pub head_timeout: Millis,
     /// Time for which a connection without a request is kept open.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// Most connections open at a time. Further ones are closed on accept, so that the file descriptors
     /// needed for servers and peers stay free.
-    pub connections: u32,
+    pub max_connections: u32,
 }
 
 impl Default for HttpLimits {
     fn default() -> Self {
         Self {
-            head: 16 << 10,
-            headers: 64,
-            head_time: Millis(3_000),
-            idle: Millis(15_000),
-            connections: 4_000,
+            max_head_bytes: 16 << 10,
+            max_headers: 64,
+            head_timeout: Millis(3_000),
+            idle_timeout: Millis(15_000),
+            max_connections: 4_000,
         }
     }
 }
@@ -144,7 +144,9 @@
         select_biased! {
             () = stopped => break,
             result = accepted => match result {
-                Ok((stream, addr)) if open.get() < limits.get().connections => accept(stream, addr),
+                Ok((stream, addr)) if open.get() < limits.get().max_connections => {
+                    accept(stream, addr);
+                }
                 Ok(_) => {}
                 // Out of file descriptors: waits a little to avoid a busy loop.
                 Err(_) => monoio::time::sleep(Millis(10).to_duration()).await,
@@ -178,7 +180,7 @@
         return;
     };
     // hyper panics on a smaller buffer.
-    let head = limits.head.max(8_192);
+    let head = limits.max_head_bytes.max(8_192);
     let scanner = Rc::new(RefCell::new(HeadScanner::new(head)));
     let stream = CallerStream::new(MonoioIo::new(io), Rc::clone(&scanner));
     let stream = Rc::new(RefCell::new(stream));
@@ -187,13 +189,13 @@
     let in_flight = InFlight::default();
     let io = CallerIo::new(
         Rc::clone(&stream),
-        limits.head_time.to_duration(),
+        limits.head_timeout.to_duration(),
         in_flight.clone(),
     );
     let served = http1::Builder::new()
         .timer(MonoioTimer)
-        .header_read_timeout(limits.idle.max(limits.head_time).to_duration())
-        .max_headers(limits.headers)
+        .header_read_timeout(limits.idle_timeout.max(limits.head_timeout).to_duration())
+        .max_headers(limits.max_headers)
         .max_buf_size(head)
         .half_close(false)
         .serve_connection(io, {
@@ -269,7 +271,7 @@
 ///
 /// Requests that were started early are still being processed by their servers and must be answered first.
 fn set_connection_close(pipeline: &mut Pipeline, response: &mut Response<Body>) {
-    if says_close(response.headers()) {
+    if is_connection_close(response.headers()) {
         pipeline.close();
     }
     let headers = response.headers_mut();
--- a/crates/chicoryrail-runtime/src/callers/pipeline.rs
+++ b/crates/chicoryrail-runtime/src/callers/pipeline.rs
@@ -14,7 +14,7 @@
 use crate::Body;
 use crate::callers::HeadScanner;
 use crate::callers::ScannedHead;
-use crate::empty;
+use crate::empty_body;
 
 /// Most requests of one connection that are served concurrently with the current one. Each may occupy a server's slot
 /// and keep a response in memory. Eight hide a server's latency as well as a hundred would.
@@ -153,7 +153,7 @@
             if !(self.callbacks.can_start_early)(&parts) {
                 return;
             }
-            let response = (self.callbacks.start)(Request::from_parts(parts, empty()));
+            let response = (self.callbacks.start)(Request::from_parts(parts, empty_body()));
             queued.started = Some(StartedRequest {
                 request,
                 response: ResponseState::Pending(response),
--- a/crates/chicoryrail-runtime/src/hop_by_hop.rs
+++ b/crates/chicoryrail-runtime/src/hop_by_hop.rs
@@ -19,7 +19,7 @@
 
 /// Removes the hop-by-hop headers, including those that the sender lists in its `connection` header.
 #[must_use]
-pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
+pub fn strip_hop_by_hop(mut headers: HeaderMap) -> HeaderMap {
     if let Some(listed) = headers.remove(header::CONNECTION) {
         for name in listed.to_str().unwrap_or("").split(',') {
             headers.remove(name.trim());
--- a/crates/chicoryrail-runtime/src/http_client.rs
+++ b/crates/chicoryrail-runtime/src/http_client.rs
@@ -16,7 +16,7 @@
 
 use crate::ServerConn;
 use crate::body::collect_with_progress;
-use crate::full;
+use crate::full_body;
 
 /// Idle connections kept for each address. Control calls rarely overlap, and more connections would count
 /// against the target's connection limit.
@@ -61,11 +61,11 @@
 
 /// Timeouts of a call whose response may have any length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerWait {
+pub struct ResponseTimeouts {
     /// Longest wait for the first data of the response body.
-    pub first: Millis,
+    pub first_piece: Millis,
     /// Longest wait for further data.
-    pub further: Millis,
+    pub next_piece: Millis,
 }
 
 type Idle = HashMap<SocketAddr, Vec<ServerConn>>;
@@ -92,7 +92,7 @@
 impl HttpClient {
     /// Sets the longest response body that is accepted, in bytes. The default is 8 MiB.
     #[must_use]
-    pub fn with_limit(mut self, bytes: usize) -> Self {
+    pub fn with_max_response(mut self, bytes: usize) -> Self {
         self.max_body = bytes;
         self
     }
@@ -125,16 +125,16 @@
     /// # Errors
     ///
     /// Returns an [`HttpError`] if a wait ends without further data, or if the call fails.
-    pub async fn call_while_arriving(
+    pub async fn call_while_receiving(
         &self,
         addr: SocketAddr,
         request: http::Request<Bytes>,
-        wait: AnswerWait,
+        timeouts: ResponseTimeouts,
         on_progress: impl Fn(),
     ) -> Result<http::Response<Bytes>, HttpError> {
         let received = Cell::new(0);
         let mut exchange = pin!(self.exchange(addr, request, &received));
-        let mut time_limit = wait.first;
+        let mut time_limit = timeouts.first_piece;
         loop {
             let last_received = received.get();
             if let Ok(result) = timeout(time_limit.to_duration(), &mut exchange).await {
@@ -144,7 +144,7 @@
                 return Err(self.time_out(addr, last_received));
             }
             on_progress();
-            time_limit = wait.further;
+            time_limit = timeouts.next_piece;
         }
     }
 
@@ -170,9 +170,9 @@
             head.headers.insert(http::header::HOST, host);
         }
         let mut conn = self.connection(addr).await?;
-        let request = http::Request::from_parts(head, full(body));
+        let request = http::Request::from_parts(head, full_body(body));
         let response = conn
-            .send
+            .sender
             .send_request(request)
             .await
             .context(CallSnafu { addr })?;
@@ -183,7 +183,7 @@
             .context(ResponseSnafu { addr })?;
         // A connection that the peer closes after this response still appears ready until the close is read,
         // and the next call on it would fail.
-        if conn.send.is_ready() && !says_close(&head.headers) {
+        if conn.sender.is_ready() && !is_connection_close(&head.headers) {
             let mut idle = self.idle.borrow_mut();
             let conns = idle.entry(addr).or_default();
             if conns.len() < MAX_IDLE_CONNECTIONS {
@@ -197,7 +197,7 @@
         loop {
             let idle = self.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
             match idle {
-                Some(conn) if conn.send.is_ready() => return Ok(conn),
+                Some(conn) if conn.sender.is_ready() => return Ok(conn),
                 Some(_) => {}
                 None => break,
             }
@@ -209,7 +209,7 @@
 
 /// Returns `true` if the headers announce that the sender closes the connection after this message.
 #[must_use]
-pub fn says_close(headers: &http::HeaderMap) -> bool {
+pub fn is_connection_close(headers: &http::HeaderMap) -> bool {
     headers
         .get_all(http::header::CONNECTION)
         .iter()
--- a/crates/chicoryrail-runtime/src/invariants.rs
+++ b/crates/chicoryrail-runtime/src/invariants.rs
@@ -25,7 +25,7 @@
     /// Registers one counter for each invariant, all at 0.
     #[must_use]
     pub fn new(metrics: &Metrics) -> Self {
-        let violations = metrics.counters(
+        let violations = metrics.counter_family(
             "invariant_violations_total",
             "Invariant violations; each one is a bug in the program",
             &["invariant"],
@@ -53,7 +53,12 @@
     }
 
     /// Asserts that `new` is greater than `old`. Returns whether it is.
-    pub fn rises<T: PartialOrd + Display>(&self, invariant: Invariant, old: &T, new: &T) -> bool {
+    pub fn check_increases<T: PartialOrd + Display>(
+        &self,
+        invariant: Invariant,
+        old: &T,
+        new: &T,
+    ) -> bool {
         self.check(invariant, new > old, || format!("old={old} new={new}"))
     }
 
--- a/crates/chicoryrail-runtime/src/log_sink.rs
+++ b/crates/chicoryrail-runtime/src/log_sink.rs
@@ -68,7 +68,7 @@
     ///
     /// Lines of single requests (`of_request`) may use only a share of the rate, so that thousands of failing
     /// requests don't displace the other lines.
-    pub fn line(&self, line: &[u8], of_request: bool) {
+    pub fn write_line(&self, line: &[u8], of_request: bool) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.start_second();
         let share_percent = if of_request {
--- a/crates/chicoryrail-runtime/src/metrics.rs
+++ b/crates/chicoryrail-runtime/src/metrics.rs
@@ -46,7 +46,7 @@
 
     /// Registers a family of counters, one for each combination of label values.
     #[must_use]
-    pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+    pub fn counter_family(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         let family = IntCounterVec::new(Opts::new(name, help), labels)
             .expect("metric names are constant and valid");
         self.registry
@@ -67,7 +67,7 @@
 
     /// Registers a histogram of durations in seconds, with buckets from 100 µs to 10 s.
     #[must_use]
-    pub fn seconds(&self, name: &str, help: &str) -> Histogram {
+    pub fn histogram(&self, name: &str, help: &str) -> Histogram {
         let opts = HistogramOpts::new(name, help).buckets(BUCKETS_SECONDS.to_vec());
         let histogram = Histogram::with_opts(opts).expect("metric names are constant and valid");
         self.registry
@@ -78,7 +78,7 @@
 
     /// Registers a family of histograms of durations in seconds, one for each combination of label values.
     #[must_use]
-    pub fn seconds_by(&self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
+    pub fn histogram_family(&self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
         let opts = HistogramOpts::new(name, help).buckets(BUCKETS_SECONDS.to_vec());
         let family = HistogramVec::new(opts, labels).expect("metric names are constant and valid");
         self.registry
--- a/crates/chicoryrail-runtime/src/process.rs
+++ b/crates/chicoryrail-runtime/src/process.rs
@@ -12,7 +12,7 @@
 use crate::Clock;
 use crate::Invariants;
 use crate::Metrics;
-use crate::full;
+use crate::full_body;
 
 /// Shared state of one process. Clones share its metrics, readiness and stop token.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     /// Cancelled when the process has to stop.
     pub stop: CancellationToken,
     /// Random identifier of this run of the process, never 0.
-    pub instance: u64,
+    pub instance_id: u64,
     ready: Rc<Cell<bool>>,
 }
 
@@ -40,7 +40,7 @@
             invariants: Invariants::new(&metrics),
             metrics,
             stop: CancellationToken::new(),
-            instance: rand::random::<u64>().max(1),
+            instance_id: rand::random::<u64>().max(1),
             ready: Rc::default(),
         }
     }
@@ -58,16 +58,16 @@
 
     /// Responds to `/-/readyz`, which the load balancer probes, and `/metrics`. Returns `None` for other paths.
     #[must_use]
-    pub fn observe<B>(&self, request: &Request<B>) -> Option<Response<Body>> {
+    pub fn handle_management<B>(&self, request: &Request<B>) -> Option<Response<Body>> {
         match request.uri().path() {
             "/-/readyz" => {
-                let mut response = Response::new(full(""));
+                let mut response = Response::new(full_body(""));
                 if !self.is_ready() {
                     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
                 }
                 Some(response)
             }
-            "/metrics" => Some(Response::new(full(self.metrics.render()))),
+            "/metrics" => Some(Response::new(full_body(self.metrics.render()))),
             _ => None,
         }
     }
--- a/crates/chicoryrail-runtime/src/request_body.rs
+++ b/crates/chicoryrail-runtime/src/request_body.rs
@@ -16,7 +16,7 @@
 use monoio::time::timeout;
 
 use crate::Body;
-use crate::empty;
+use crate::empty_body;
 
 /// Bytes at the start of a body that are buffered for a retry. They are also read before the request takes a slot of
 /// a server, so that a caller that sends slowly does not occupy one meanwhile.
@@ -24,7 +24,7 @@
 
 /// Why a caller's body can't be read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// The body is longer than the limit.
     TooLarge,
     /// The start of the body was not received in time.
@@ -42,7 +42,7 @@
     max_bytes: u64,
     /// Whether bytes were sent that are not buffered.
     streamed: Cell<bool>,
-    fault: Cell<Option<BodyFault>>,
+    error: Cell<Option<BodyError>>,
 }
 
 impl RequestBody {
@@ -59,7 +59,7 @@
             received_bytes: Cell::default(),
             max_bytes,
             streamed: Cell::default(),
-            fault: Cell::new(too_large.then_some(BodyFault::TooLarge)),
+            error: Cell::new(too_large.then_some(BodyError::TooLarge)),
         })
     }
 
@@ -67,10 +67,10 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`BodyFault`] if the body is too long, too slow or cut; nothing was sent.
-    pub async fn prefetch(&self, limit: Millis) -> Result<(), BodyFault> {
-        if let Some(fault) = self.fault.get() {
-            return Err(fault);
+    /// Returns a [`BodyError`] if the body is too long, too slow or cut; nothing was sent.
+    pub async fn prefetch(&self, limit: Millis) -> Result<(), BodyError> {
+        if let Some(error) = self.error.get() {
+            return Err(error);
         }
         if self.inner.borrow().is_none() {
             return Ok(());
@@ -79,7 +79,7 @@
             while self.buffered_bytes.get() < REPLAY_BYTES {
                 match poll_fn(|cx| self.poll_chunk(cx)).await {
                     Some(Ok(data)) => self.buffer(data),
-                    Some(Err(_)) => return Err(self.fault.get().unwrap_or(BodyFault::Cut)),
+                    Some(Err(_)) => return Err(self.error.get().unwrap_or(BodyError::Cut)),
                     None => break,
                 }
             }
@@ -87,12 +87,12 @@
         };
         timeout(limit.to_duration(), read_start)
             .await
-            .unwrap_or(Err(BodyFault::Slow))
+            .unwrap_or(Err(BodyError::Slow))
     }
 
     /// Returns `true` if the body can still be sent from its start.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_replayable(&self) -> bool {
         !self.streamed.get()
     }
 
@@ -104,14 +104,14 @@
 
     /// Returns why the body could not be read completely, if so.
     #[must_use]
-    pub fn fault(&self) -> Option<BodyFault> {
-        self.fault.get()
+    pub fn error(&self) -> Option<BodyError> {
+        self.error.get()
     }
 
     /// Returns the body for one attempt to send the request.
     pub fn body(self: &Rc<Self>) -> Body {
         if self.is_empty() {
-            return empty();
+            return empty_body();
         }
         Box::pin(SendAttempt {
             source: Rc::clone(self),
@@ -129,7 +129,7 @@
         let mut inner = self.inner.borrow_mut();
         loop {
             let Some(body) = inner.as_mut() else {
-                return Poll::Ready(self.fault.get().map(|_| Err(io::Error::other("cut"))));
+                return Poll::Ready(self.error.get().map(|_| Err(io::Error::other("cut"))));
             };
             let frame = match body.as_mut().poll_frame(cx) {
                 Poll::Pending => return Poll::Pending,
@@ -138,7 +138,7 @@
             match frame {
                 None => *inner = None,
                 Some(Err(e)) => {
-                    self.fault.set(Some(BodyFault::Cut));
+                    self.error.set(Some(BodyError::Cut));
                     *inner = None;
                     return Poll::Ready(Some(Err(e)));
                 }
@@ -149,7 +149,7 @@
                     self.received_bytes
                         .set(self.received_bytes.get() + data.len() as u64);
                     if self.received_bytes.get() > self.max_bytes {
-                        self.fault.set(Some(BodyFault::TooLarge));
+                        self.error.set(Some(BodyError::TooLarge));
                         *inner = None;
                         return Poll::Ready(Some(Err(io::Error::other("body exceeds the limit"))));
                     }
@@ -193,6 +193,6 @@
     fn is_end_stream(&self) -> bool {
         self.next_chunk >= self.source.buffered.borrow().len()
             && self.source.inner.borrow().is_none()
-            && self.source.fault.get().is_none()
+            && self.source.error.get().is_none()
     }
 }
--- a/crates/chicoryrail-runtime/src/server_pool.rs
+++ b/crates/chicoryrail-runtime/src/server_pool.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct ServerConn {
     /// Sends requests on the connection.
-    pub send: SendRequest<Body>,
+    pub sender: SendRequest<Body>,
     closed: CancellationToken,
 }
 
@@ -49,19 +49,19 @@
     /// Limits the open connections to the server's slots plus a reserve, at most the service's `connections`.
     ///
     /// The limit is at least 1.
-    pub fn set_cap(&self, slots: u32, connections: u32) {
+    pub fn set_max_connections(&self, slots: u32, connections: u32) {
         self.max_open
             .set(connections.min(slots + SPARE_CONNECTIONS).max(1));
     }
 
     /// Returns the number of open connections, idle or in use.
     #[must_use]
-    pub fn open(&self) -> u32 {
+    pub fn open_connections(&self) -> u32 {
         self.open.get()
     }
 
     /// Closes all idle connections.
-    pub fn clear(&self) {
+    pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
@@ -70,12 +70,12 @@
     /// # Errors
     ///
     /// Returns the reason if no connection is available; nothing was sent.
-    pub async fn take(&self, addr: SocketAddr) -> io::Result<ServerConn> {
+    pub async fn acquire(&self, addr: SocketAddr) -> io::Result<ServerConn> {
         loop {
             let Some(mut conn) = self.idle.borrow_mut().pop() else {
                 break;
             };
-            if !conn.send.is_closed() && conn.send.ready().await.is_ok() {
+            if !conn.sender.is_closed() && conn.sender.ready().await.is_ok() {
                 return Ok(conn);
             }
         }
@@ -83,8 +83,8 @@
     }
 
     /// Returns a connection to the pool after a complete response, or closes it if the pool is full.
-    pub fn put(&self, conn: ServerConn) {
-        if !conn.send.is_closed() && (self.idle.borrow().len() as u32) < self.max_open.get() {
+    pub fn release(&self, conn: ServerConn) {
+        if !conn.sender.is_closed() && (self.idle.borrow().len() as u32) < self.max_open.get() {
             self.idle.borrow_mut().push(conn);
         }
     }
@@ -110,7 +110,7 @@
     pub(crate) async fn open<T: 'static>(addr: SocketAddr, guard: T) -> io::Result<Self> {
         let stream = connect(addr).await?;
         let io = stream.try_into_poll_io().map_err(|(e, _)| e)?;
-        let (send, connection) = http1::Builder::new()
+        let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_READ_BUFFER_BYTES)
             .handshake(MonoioIo::new(io))
             .await
@@ -124,7 +124,7 @@
             select(connection, stopped).await;
             drop(guard);
         });
-        Ok(Self { send, closed })
+        Ok(Self { sender, closed })
     }
 }
 
--- a/crates/chicoryrail-runtime/src/settings.rs
+++ b/crates/chicoryrail-runtime/src/settings.rs
@@ -29,7 +29,7 @@
 /// # Errors
 ///
 /// Returns the exit code of the process: 0 after the help text, 2 after an invalid flag or variable.
-pub fn from_args<T>(parser: &OptionParser<T>) -> Result<T, ExitCode> {
+pub fn parse_args<T>(parser: &OptionParser<T>) -> Result<T, ExitCode> {
     parser.run_inner(Args::current_args()).map_err(|failure| {
         failure.print_message(100);
         ExitCode::from(if failure.exit_code() == 0 {
@@ -44,7 +44,7 @@
 ///
 /// The error for an invalid value names the flag and the value, which bpaf's own error does not.
 #[must_use]
-pub fn setting<T>(
+pub fn setting_parser<T>(
     flag: &'static str,
     env: &'static str,
     kind: &'static str,
@@ -68,7 +68,7 @@
 ///
 /// bpaf alone treats any value of the variable as set, including `0` and `false`.
 #[must_use]
-pub fn switch_setting(
+pub fn switch_parser(
     flag: &'static str,
     env: &'static str,
     help: &'static str,
--- a/crates/chicoryrail-runtime/src/signal.rs
+++ b/crates/chicoryrail-runtime/src/signal.rs
@@ -8,33 +8,33 @@
 
 /// A change notification that any number of tasks can wait for.
 ///
-/// A task reads [`Signal::count`] before it checks its condition and then waits with [`Signal::after`]. A change
-/// between the check and the wait then wakes the task immediately.
+/// A task reads [`ChangeSignal::version`] before it checks its condition and then waits with
+/// [`ChangeSignal::wait_past`]. A change between the check and the wait then wakes the task immediately.
 #[derive(Debug, Default)]
-pub struct Signal {
-    count: Cell<u64>,
+pub struct ChangeSignal {
+    version: Cell<u64>,
     wakers: RefCell<Vec<Waker>>,
 }
 
-impl Signal {
-    /// Returns the number of notifications so far.
+impl ChangeSignal {
+    /// Returns the version: the number of notifications so far.
     #[must_use]
-    pub fn count(&self) -> u64 {
-        self.count.get()
+    pub fn version(&self) -> u64 {
+        self.version.get()
     }
 
     /// Counts a change and wakes all waiting tasks.
     pub fn notify(&self) {
-        self.count.set(self.count.get() + 1);
+        self.version.set(self.version.get() + 1);
         for waker in self.wakers.take() {
             waker.wake();
         }
     }
 
-    /// Waits until the count exceeds `seen`.
-    pub async fn after(&self, seen: u64) {
+    /// Waits until the version exceeds `seen`.
+    pub async fn wait_past(&self, seen: u64) {
         poll_fn(|cx| {
-            if self.count.get() > seen {
+            if self.version.get() > seen {
                 return Poll::Ready(());
             }
             let mut wakers = self.wakers.borrow_mut();
--- a/crates/chicoryrail-runtime/src/start.rs
+++ b/crates/chicoryrail-runtime/src/start.rs
@@ -86,7 +86,7 @@
 
 /// Prints the reason of a failed start to standard error and returns the exit code 2.
 #[must_use]
-pub fn exit_with(message: &str) -> ExitCode {
+pub fn exit_with_error(message: &str) -> ExitCode {
     eprintln!("error: {message}");
     ExitCode::from(EXIT_BAD_SETTING)
 }
--- a/crates/chicoryrail-runtime/tests/http_client.rs
+++ b/crates/chicoryrail-runtime/tests/http_client.rs
@@ -9,9 +9,9 @@
 
 use bytes::Bytes;
 use chicoryrail_core::Millis;
-use chicoryrail_runtime::AnswerWait;
 use chicoryrail_runtime::HttpClient;
 use chicoryrail_runtime::HttpError;
+use chicoryrail_runtime::ResponseTimeouts;
 use chicoryrail_runtime::block_on;
 use http::Request;
 use http::Response;
@@ -71,14 +71,16 @@
 
 fn call_slow_server(pieces: usize) -> Result<Bytes, HttpError> {
     let addr = slow_server(pieces);
-    let wait = AnswerWait {
-        first: Millis(250),
-        further: Millis(200),
+    let timeouts = ResponseTimeouts {
+        first_piece: Millis(250),
+        next_piece: Millis(200),
     };
     let request = Request::get("/").body(Bytes::new()).unwrap();
     block_on(async {
         let client = HttpClient::default();
-        let response = client.call_while_arriving(addr, request, wait, || {}).await;
+        let response = client
+            .call_while_receiving(addr, request, timeouts, || {})
+            .await;
         response.map(Response::into_body)
     })
 }
--- a/crates/chicoryrail-runtime/tests/invariants.rs
+++ b/crates/chicoryrail-runtime/tests/invariants.rs
@@ -10,7 +10,9 @@
 #[case::falls(0, 1)]
 fn a_broken_invariant_is_counted(#[case] new: u64, #[case] expected: u64) {
     let process = Process::new();
-    let holds = process.invariants.rises(Invariant::ConfigForward, &1, &new);
+    let holds = process
+        .invariants
+        .check_increases(Invariant::ConfigForward, &1, &new);
     assert_eq!(holds, expected == 0);
     assert_eq!(process.invariants.count(Invariant::ConfigForward), expected);
 }
--- a/crates/chicoryrail-runtime/tests/log_sink.rs
+++ b/crates/chicoryrail-runtime/tests/log_sink.rs
@@ -24,7 +24,7 @@
     let started = Instant::now();
     let line = [b'x'; 500];
     for i in 0..10_000 {
-        sink.line(&line, false);
+        sink.write_line(&line, false);
         if i % 100 == 0 {
             sink.flush_to(&writer);
         }
@@ -47,7 +47,7 @@
     let sink = LogSink::new(50);
     let (writer, reader) = UnixStream::pair().unwrap();
     for i in 0..500 {
-        sink.line(format!("log=a n={i}\n").as_bytes(), false);
+        sink.write_line(format!("log=a n={i}\n").as_bytes(), false);
     }
     sink.flush_to(&writer);
     assert_eq!(lines_read(reader.try_clone().unwrap()).len(), 50);
@@ -62,9 +62,9 @@
     let sink = LogSink::new(50);
     let (writer, reader) = UnixStream::pair().unwrap();
     for _ in 0..500 {
-        sink.line(b"log=request_refused\n", true);
+        sink.write_line(b"log=request_refused\n", true);
     }
-    sink.line(b"log=leader_lost\n", false);
+    sink.write_line(b"log=leader_lost\n", false);
     sink.flush_to(&writer);
     let lines = lines_read(reader);
     assert_eq!(lines.len(), 31);
--- a/crates/chicoryrail-runtime/tests/pipeline.rs
+++ b/crates/chicoryrail-runtime/tests/pipeline.rs
@@ -12,7 +12,7 @@
 use chicoryrail_runtime::Clock;
 use chicoryrail_runtime::HttpLimits;
 use chicoryrail_runtime::block_on;
-use chicoryrail_runtime::full;
+use chicoryrail_runtime::full_body;
 use chicoryrail_runtime::serve_http_shared;
 use futures_util::StreamExt;
 use futures_util::stream;
@@ -94,7 +94,7 @@
         });
         return Response::new(Box::pin(StreamBody::new(Box::pin(parts))));
     }
-    let mut response = Response::new(full(format!("<{path}>")));
+    let mut response = Response::new(full_body(format!("<{path}>")));
     if path.starts_with("/close") {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
--- a/crates/chicoryrail-runtime/tests/ready.rs
+++ b/crates/chicoryrail-runtime/tests/ready.rs
@@ -19,7 +19,10 @@
         process.stop.cancel();
     }
     let request = http::Request::get("/-/readyz").body(()).unwrap();
-    assert_eq!(process.observe(&request).unwrap().status(), expected);
+    assert_eq!(
+        process.handle_management(&request).unwrap().status(),
+        expected
+    );
     let other = http::Request::get("/other").body(()).unwrap();
-    assert!(process.observe(&other).is_none());
+    assert!(process.handle_management(&other).is_none());
 }
--- a/crates/chicoryrail-testkit/src/bin/testkit-chaos.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-chaos.rs
@@ -9,7 +9,7 @@
 use bpaf::construct;
 use bpaf::long;
 use chicoryrail_core::Millis;
-use chicoryrail_runtime::exit_with;
+use chicoryrail_runtime::exit_with_error;
 use chicoryrail_runtime::init_logs;
 use chicoryrail_testkit::ChaosOptions;
 use chicoryrail_testkit::Deployment;
@@ -70,14 +70,14 @@
     options.keep = keep_evidence;
 
     if let Err(e) = stop_on_signal(&options.stop) {
-        return exit_with(&e.to_string());
+        return exit_with_error(&e.to_string());
     }
     match run_chaos(&options) {
         Ok(summary) => {
             println!("{}", serde_json::to_string(&summary).unwrap_or_default());
             ExitCode::from(u8::from(!summary.is_clean()))
         }
-        Err(e) => exit_with(&e.to_string()),
+        Err(e) => exit_with_error(&e.to_string()),
     }
 }
 
--- a/crates/chicoryrail-testkit/src/bin/testkit-load.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-load.rs
@@ -10,7 +10,7 @@
 use bpaf::long;
 use chicoryrail_core::Millis;
 use chicoryrail_runtime::block_on;
-use chicoryrail_runtime::exit_with;
+use chicoryrail_runtime::exit_with_error;
 use chicoryrail_testkit::CallRecord;
 use chicoryrail_testkit::Load;
 use chicoryrail_testkit::LoadHost;
@@ -208,12 +208,12 @@
     if let Some(path) = records
         && let Err(e) = write_records(&path, &call_records)
     {
-        return exit_with(&format!("--records: {e}"));
+        return exit_with_error(&format!("--records: {e}"));
     }
     let summary = LoadSummary::of(&call_records);
     match serde_json::to_string(&summary) {
         Ok(text) => println!("{text}"),
-        Err(e) => return exit_with(&e.to_string()),
+        Err(e) => return exit_with_error(&e.to_string()),
     }
     ExitCode::from(u8::from(summary.wrong > 0))
 }
--- a/crates/chicoryrail-testkit/src/bin/testkit-proxy.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-proxy.rs
@@ -7,10 +7,10 @@
 use bpaf::construct;
 use bpaf::long;
 use chicoryrail_runtime::Body;
-use chicoryrail_runtime::collect;
-use chicoryrail_runtime::error_answer;
-use chicoryrail_runtime::exit_with;
-use chicoryrail_runtime::json_answer;
+use chicoryrail_runtime::collect_body;
+use chicoryrail_runtime::error_response;
+use chicoryrail_runtime::exit_with_error;
+use chicoryrail_runtime::json_response;
 use chicoryrail_testkit::Link;
 use chicoryrail_testkit::Net;
 use chicoryrail_testkit::stand_in;
@@ -73,18 +73,18 @@
     let path = request.uri().path().to_owned();
     match (request.method().clone(), path.as_str()) {
         (Method::PUT, "/fault") => {
-            let body = collect(request.into_body(), MAX_BODY_BYTES).await;
+            let body = collect_body(request.into_body(), MAX_BODY_BYTES).await;
             match serde_json::from_slice(&body.unwrap_or_default()) {
                 Ok(fault) => link.set(fault),
-                Err(e) => return error_answer(400, &format!("fault: {e}")),
+                Err(e) => return error_response(400, &format!("fault: {e}")),
             }
         }
         (Method::DELETE, "/fault") => link.heal(),
         (Method::POST, "/reset") => link.reset(),
-        (Method::GET, "/stats") => return json_answer(200, &link.stats()),
-        _ => return error_answer(400, "unknown control request"),
+        (Method::GET, "/stats") => return json_response(200, &link.stats()),
+        _ => return error_response(400, "unknown control request"),
     }
-    json_answer(200, &link.fault())
+    json_response(200, &link.fault())
 }
 
 fn main() -> ExitCode {
@@ -94,7 +94,7 @@
         Ok(link) => link,
         Err(e) => {
             let text = format!("--listen = {}: {e}", settings.listen);
-            return exit_with(&text);
+            return exit_with_error(&text);
         }
     };
     stand_in("control", settings.control, |listener, stop| {
--- a/crates/chicoryrail-testkit/src/cluster/http.rs
+++ b/crates/chicoryrail-testkit/src/cluster/http.rs
@@ -38,7 +38,7 @@
         .body(body.into())
         .map_err(|e| call_error(e.to_string()))?;
     let called = std::thread::spawn(move || {
-        let client = HttpClient::default().with_limit(1 << 30);
+        let client = HttpClient::default().with_max_response(1 << 30);
         block_on(async { client.call(addr, request, timeout).await })
             .map(|a| (a.status().as_u16(), a.into_body()))
             .map_err(|e| e.to_string())
--- a/crates/chicoryrail-testkit/src/listener.rs
+++ b/crates/chicoryrail-testkit/src/listener.rs
@@ -9,9 +9,9 @@
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::CancellationToken;
 use chicoryrail_runtime::SettingError;
-use chicoryrail_runtime::bind;
+use chicoryrail_runtime::bind_listener;
 use chicoryrail_runtime::block_on;
-use chicoryrail_runtime::exit_with;
+use chicoryrail_runtime::exit_with_error;
 use chicoryrail_runtime::init_logs;
 use chicoryrail_runtime::stop_on_signal;
 use futures_util::future::Either;
@@ -55,7 +55,7 @@
     /// Binds `addr`, the value of the flag `flag`.
     fn bind_flag(flag: &'static str, addr: SocketAddr) -> Result<Self, SettingError> {
         Ok(Self {
-            tcp: bind(flag, addr)?,
+            tcp: bind_listener(flag, addr)?,
             max_connections: u32::MAX,
             open_connections: Rc::default(),
             refused_connections: Rc::default(),
@@ -154,6 +154,6 @@
     });
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => exit_with(&text),
+        Err(text) => exit_with_error(&text),
     }
 }
--- a/crates/chicoryrail-testkit/src/load/call.rs
+++ b/crates/chicoryrail-testkit/src/load/call.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use chicoryrail_core::Millis;
 use chicoryrail_platform::call_header;
-use chicoryrail_runtime::collect;
+use chicoryrail_runtime::collect_body;
 use http::Method;
 use http::Request;
 use http::Response;
@@ -181,7 +181,7 @@
     let stamped = text(&call_header::UPSTREAM_STAMP).is_some();
     record.status = head.status.as_u16();
     record.server = text(&call_header::SERVER).map(str::to_owned);
-    let Ok(body) = collect(body, MAX_RESPONSE_BYTES).await else {
+    let Ok(body) = collect_body(body, MAX_RESPONSE_BYTES).await else {
         record.outcome = Outcome::Unknown;
         return;
     };
--- a/crates/chicoryrail-testkit/src/store/server.rs
+++ b/crates/chicoryrail-testkit/src/store/server.rs
@@ -17,9 +17,9 @@
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::CancellationToken;
 use chicoryrail_runtime::Clock;
-use chicoryrail_runtime::collect;
-use chicoryrail_runtime::error_answer;
-use chicoryrail_runtime::json_answer;
+use chicoryrail_runtime::collect_body;
+use chicoryrail_runtime::error_response;
+use chicoryrail_runtime::json_response;
 use http::Method;
 use http::Request;
 use http::Response;
@@ -90,7 +90,7 @@
 
     async fn respond(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
         let (head, body) = request.into_parts();
-        let Ok(body) = collect(body, BODY_MAX_BYTES).await else {
+        let Ok(body) = collect_body(body, BODY_MAX_BYTES).await else {
             return Ok(too_large());
         };
         let path = head.uri.path().to_owned();
@@ -112,7 +112,7 @@
         }
         let silence_count = self.state.borrow().faults.silence_count;
         match call_faults.down {
-            Some(true) => return Ok(error_answer(503, "fault: down")),
+            Some(true) => return Ok(error_response(503, "fault: down")),
             Some(false) => return Err(Cut),
             None => {}
         }
@@ -131,7 +131,7 @@
         let path = uri.path();
         let is_renewal = path.starts_with("/-/kv-keep/");
         if !self.admit(*method == Method::GET || is_renewal) {
-            return json_answer(429, &"the store's rate is used up");
+            return json_response(429, &"the store's rate is used up");
         }
         match (method.as_str(), path) {
             ("GET", "/-/kv-key") => self.get(uri),
@@ -141,7 +141,7 @@
             ("POST", "/-/kv-lease") => self.open_lease(body),
             ("POST", _) if is_renewal => self.renew(path),
             ("DELETE", _) if path.starts_with("/-/kv-lease-end/") => self.end_lease(path),
-            _ => error_answer(400, "the store has no such call"),
+            _ => error_response(400, "the store has no such call"),
         }
     }
 
@@ -167,21 +167,21 @@
         state.stats.gets += 1;
         let store_revision = Some(state.kv.revision());
         match state.kv.get(&key) {
-            Some(item) => json_answer(
+            Some(item) => json_response(
                 200,
                 &WireItem {
                     store_revision,
                     ..item
                 },
             ),
-            None => json_answer(404, &"no such key"),
+            None => json_response(404, &"no such key"),
         }
     }
 
     fn commit(&self, body: &Bytes) -> Response<Body> {
         let txn = match serde_json::from_slice::<WireTxn>(body) {
             Ok(txn) => txn,
-            Err(e) => return error_answer(400, &format!("transaction: {e}")),
+            Err(e) => return error_response(400, &format!("transaction: {e}")),
         };
         let mut state = self.state.borrow_mut();
         match state.kv.commit(&txn) {
@@ -189,14 +189,14 @@
                 state.stats.swaps += 1;
                 state.stats.written += txn.puts.iter().map(|p| p.value.len() as u64).sum::<u64>();
                 state.wake_watches();
-                json_answer(200, &WireWritten { rev })
+                json_response(200, &WireWritten { rev })
             }
             Err(e) => {
                 state.stats.conflicts += 1;
                 match e {
-                    TxnError::Conflict(items) => json_answer(412, &WireRefusal { items }),
+                    TxnError::Conflict(items) => json_response(412, &WireRefusal { items }),
                     TxnError::BadValue => too_large(),
-                    TxnError::NoLease => json_answer(404, &"no such lease"),
+                    TxnError::NoLease => json_response(404, &"no such lease"),
                 }
             }
         }
@@ -205,7 +205,7 @@
     fn list(&self, uri: &Uri) -> Response<Body> {
         let mut state = self.state.borrow_mut();
         state.stats.lists += 1;
-        json_answer(
+        json_response(
             200,
             &state
                 .kv
@@ -228,12 +228,12 @@
             if let Some(left) = self.stall_left() {
                 monoio::time::sleep(left.to_duration()).await;
                 self.state.borrow_mut().kv.compact();
-                return error_answer(503, "the history was forgotten");
+                return error_response(503, "the history was forgotten");
             }
             let changed = {
                 let state = self.state.borrow();
                 let Some(events) = state.kv.changes_since(&prefix, after) else {
-                    return json_answer(410, &"that history is forgotten");
+                    return json_response(410, &"that history is forgotten");
                 };
                 if !events.is_empty() || self.clock.now() >= deadline {
                     let store_revision = state.kv.revision();
@@ -241,7 +241,7 @@
                         events,
                         store_revision,
                     };
-                    return json_answer(200, &response);
+                    return json_response(200, &response);
                 }
                 state.changed.clone()
             };
@@ -270,20 +270,20 @@
     fn open_lease(&self, body: &Bytes) -> Response<Body> {
         let WireTtl { ttl_ms } = match serde_json::from_slice(body) {
             Ok(request) => request,
-            Err(e) => return error_answer(400, &format!("lease: {e}")),
+            Err(e) => return error_response(400, &format!("lease: {e}")),
         };
         let mut state = self.state.borrow_mut();
         state.stats.leases += 1;
         let lease = state.kv.open_lease(Millis(ttl_ms), self.clock.now());
-        json_answer(200, &WireLease { lease, ttl_ms })
+        json_response(200, &WireLease { lease, ttl_ms })
     }
 
     fn renew(&self, path: &str) -> Response<Body> {
         let mut state = self.state.borrow_mut();
         state.stats.leases += 1;
         match state.kv.renew_lease(lease_id(path), self.clock.now()) {
-            Some(ttl) => json_answer(200, &WireTtl { ttl_ms: ttl.0 }),
-            None => json_answer(404, &"no such lease"),
+            Some(ttl) => json_response(200, &WireTtl { ttl_ms: ttl.0 }),
+            None => json_response(404, &"no such lease"),
         }
     }
 
@@ -291,15 +291,15 @@
         let mut state = self.state.borrow_mut();
         state.stats.leases += 1;
         if !state.kv.end_lease(lease_id(path)) {
-            return json_answer(404, &"no such lease");
+            return json_response(404, &"no such lease");
         }
         state.wake_watches();
-        json_answer(200, &())
+        json_response(200, &())
     }
 }
 
 fn too_large() -> Response<Body> {
-    error_answer(413, "the value is longer than a megabyte")
+    error_response(413, "the value is longer than a megabyte")
 }
 
 /// Returns a percent-decoded query parameter; empty if it is missing.
--- a/crates/chicoryrail-testkit/src/target/server.rs
+++ b/crates/chicoryrail-testkit/src/target/server.rs
@@ -11,9 +11,9 @@
 use chicoryrail_platform::call_header;
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::CancellationToken;
-use chicoryrail_runtime::collect;
-use chicoryrail_runtime::error_answer;
-use chicoryrail_runtime::json_answer;
+use chicoryrail_runtime::collect_body;
+use chicoryrail_runtime::error_response;
+use chicoryrail_runtime::json_response;
 use http::Method;
 use http::Request;
 use http::Response;
@@ -138,23 +138,23 @@
         let body = read_body(request).await;
         match KeyCall::read(&path, &body) {
             Some(Ok(call)) => return self.handle_key_call(call).await,
-            Some(Err(e)) => return Ok(error_answer(400, &e.to_string())),
+            Some(Err(e)) => return Ok(error_response(400, &e.to_string())),
             None => {}
         }
         Ok(match (method, path.as_str()) {
             (Method::PUT, "/testkit/fault") => match serde_json::from_slice(&body) {
                 Ok(fault) => {
                     self.fault(fault);
-                    json_answer(200, &())
+                    json_response(200, &())
                 }
-                Err(e) => error_answer(400, &e.to_string()),
+                Err(e) => error_response(400, &e.to_string()),
             },
             (Method::DELETE, "/testkit/fault") => {
                 self.state.faults.borrow_mut().clear();
-                json_answer(200, &())
+                json_response(200, &())
             }
-            (Method::GET, "/testkit/ledger") => json_answer(200, &self.ledger()),
-            _ => error_answer(400, "the server has no such call"),
+            (Method::GET, "/testkit/ledger") => json_response(200, &self.ledger()),
+            _ => error_response(400, "the server has no such call"),
         })
     }
 
@@ -181,7 +181,7 @@
             recorder.ledger.releases += u64::from(!is_grant);
         }
         let status = if result.is_ok() { 200 } else { 409 };
-        let mut response = json_answer(status, &());
+        let mut response = json_response(status, &());
         if result.is_ok() {
             let token = http::HeaderValue::from_static("handover");
             response.headers_mut().insert(call_header::HANDOVER, token);
@@ -200,6 +200,6 @@
 }
 
 async fn read_body(request: Request<Incoming>) -> Bytes {
-    let body = collect(request.into_body(), CALL_BODY_MAX_BYTES).await;
+    let body = collect_body(request.into_body(), CALL_BODY_MAX_BYTES).await;
     body.unwrap_or_default()
 }
--- a/crates/chicoryrail-testkit/src/target/work.rs
+++ b/crates/chicoryrail-testkit/src/target/work.rs
@@ -7,8 +7,8 @@
 use chicoryrail_platform::call_header;
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::CancellationToken;
-use chicoryrail_runtime::collect;
-use chicoryrail_runtime::json_answer;
+use chicoryrail_runtime::collect_body;
+use chicoryrail_runtime::json_response;
 use futures_util::future::Either;
 use futures_util::future::select;
 use http::HeaderMap;
@@ -74,7 +74,7 @@
 ) -> Result<Response<Body>, Cut> {
     let (head, body) = request.into_parts();
     let work = Work::parse(&state, &head);
-    let Ok(_) = collect(body, BODY_MAX_BYTES).await else {
+    let Ok(_) = collect_body(body, BODY_MAX_BYTES).await else {
         return Err(Cut);
     };
     if state.faults.borrow_mut().sample_refusal(state.now()) {
@@ -88,7 +88,7 @@
     match end {
         End::Done => {}
         End::DoneLate => {
-            let mut response = json_answer(504, &"the deadline passed");
+            let mut response = json_response(504, &"the deadline passed");
             add_headers(&state, response.headers_mut(), &work.request);
             return Ok(response);
         }
@@ -240,7 +240,7 @@
         End::Cancelled => (499, "cancelled"),
         End::Refused | End::Done | End::DoneLate => (503, "the queue is full"),
     };
-    let mut response = json_answer(status, &text);
+    let mut response = json_response(status, &text);
     add_headers(state, response.headers_mut(), request);
     let not_run = HeaderValue::from_static("1");
     response.headers_mut().insert(call_header::NOT_RUN, not_run);
--- a/crates/chicoryrail-timeline/src/run.rs
+++ b/crates/chicoryrail-timeline/src/run.rs
@@ -4,8 +4,8 @@
 use std::io::Write as _;
 use std::process::ExitCode;
 
-use chicoryrail_runtime::exit_with;
-use chicoryrail_runtime::from_args;
+use chicoryrail_runtime::exit_with_error;
+use chicoryrail_runtime::parse_args;
 
 use crate::LogLine;
 use crate::Losses;
@@ -17,7 +17,7 @@
 /// Runs the tool; the entry point of the binary.
 #[must_use]
 pub fn main() -> ExitCode {
-    let settings = match from_args(&settings()) {
+    let settings = match parse_args(&settings()) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
@@ -29,7 +29,7 @@
     for path in &settings.logs {
         match std::fs::read(path) {
             Ok(bytes) => texts.push(String::from_utf8_lossy(&bytes).into_owned()),
-            Err(e) => return exit_with(&format!("--log = {}: {e}", path.display())),
+            Err(e) => return exit_with_error(&format!("--log = {}: {e}", path.display())),
         }
     }
     let lines = merge(texts.iter().map(String::as_str), &settings.filter);
--- a/crates/chicoryrail-timeline/src/settings.rs
+++ b/crates/chicoryrail-timeline/src/settings.rs
@@ -7,7 +7,7 @@
 use bpaf::construct;
 use bpaf::long;
 use bpaf::pure;
-use chicoryrail_runtime::setting;
+use chicoryrail_runtime::setting_parser;
 
 use crate::Filter;
 
@@ -56,7 +56,7 @@
 }
 
 fn losses() -> impl Parser<Settings> {
-    let last = setting::<f64>(
+    let last = setting_parser::<f64>(
         "last",
         "CHICORYRAIL_TIMELINE_LAST",
         "SECONDS",
@@ -85,7 +85,7 @@
     let service = condition("service", "CHICORYRAIL_TIMELINE_SERVICE", "NAME");
     let host = condition("host", "CHICORYRAIL_TIMELINE_HOST", "NAME");
     let key = condition("key", "CHICORYRAIL_TIMELINE_KEY", "KEY");
-    let kind = setting::<String>(
+    let kind = setting_parser::<String>(
         "kind",
         "CHICORYRAIL_TIMELINE_KIND",
         "KIND",
@@ -93,7 +93,7 @@
     )
     .optional()
     .map(|kind| kind.map(|k| ("log", k)));
-    let server = setting::<String>(
+    let server = setting_parser::<String>(
         "server",
         "CHICORYRAIL_TIMELINE_SERVER",
         "NAME",
@@ -113,7 +113,7 @@
     env: &'static str,
     kind: &'static str,
 ) -> impl Parser<Option<(&'static str, String)>> {
-    setting::<String>(
+    setting_parser::<String>(
         flag,
         env,
         kind,
--- a/xtask/src/bench.rs
+++ b/xtask/src/bench.rs
@@ -9,7 +9,7 @@
 use chicoryrail_runtime::CancellationToken;
 use chicoryrail_runtime::HttpLimits;
 use chicoryrail_runtime::block_on;
-use chicoryrail_runtime::full;
+use chicoryrail_runtime::full_body;
 use chicoryrail_runtime::serve_http_shared;
 use http::Response;
 use monoio::io::AsyncReadRent;
@@ -82,7 +82,7 @@
         listener,
         Rc::new(Cell::new(HttpLimits::default())),
         CancellationToken::new(),
-        |_, _| async { Response::new(full(RESPONSE_BODY)) },
+        |_, _| async { Response::new(full_body(RESPONSE_BODY)) },
         |_| true,
     ));
     addr
