--- a/crates/chicoryctl/tests/commands.rs
+++ b/crates/chicoryctl/tests/commands.rs
@@ -16,7 +16,7 @@
 use chicoryrail_platform::write_member;
 use chicoryrail_runtime::block_on;
 use chicoryrail_testkit::LinkFault;
-use chicoryrail_testkit::Net;
+use chicoryrail_testkit::ProxyNet;
 use rstest::rstest;
 use support::Operator;
 use support::SITE;
@@ -48,10 +48,10 @@
 #[test]
 fn a_large_configuration_is_stored_over_a_slow_link() {
     block_on(async {
-        let mut net = Net::start(1);
+        let mut net = ProxyNet::start(1);
         let operator = Operator::start();
-        let link = net.link_anywhere("slow", operator.store.addr()).unwrap();
-        link.set(LinkFault {
+        let link = net.link_any_port("slow", operator.store.addr()).unwrap();
+        link.set_fault(LinkFault {
             drip: Some(250_000),
             ..LinkFault::default()
         });
--- a/crates/chicoryrail-router/tests/callers.rs
+++ b/crates/chicoryrail-router/tests/callers.rs
@@ -6,7 +6,7 @@
 use chicoryrail_platform::call_header;
 use chicoryrail_runtime::Clock;
 use chicoryrail_runtime::block_on;
-use chicoryrail_testkit::AnswerHead;
+use chicoryrail_testkit::ResponseHead;
 use chicoryrail_testkit::TargetFault;
 use chicoryrail_testkit::TargetOptions;
 use rstest::rstest;
@@ -26,7 +26,7 @@
         let response = caller.get("/read/1").await.unwrap();
         assert_eq!(response.status(), 200);
         assert_eq!(response.headers()[call_header::UPSTREAM_STAMP], "stamp");
-        assert_eq!(AnswerHead::check(response.body()).unwrap().server, "i-1");
+        assert_eq!(ResponseHead::check(response.body()).unwrap().server, "i-1");
         assert_eq!(caller.post("/order/1").await.unwrap().status(), 200);
         assert_eq!(caller.get("/none/1").await.unwrap().status(), 404);
         assert_eq!(server.executed_ids(), ["a-1-1", "a-1-2"]);
@@ -126,7 +126,7 @@
         let server = world
             .server_with(TargetOptions {
                 service: "desk".into(),
-                cold_bears: 8,
+                warmup_limit: 8,
                 ..TargetOptions::new("i-1")
             })
             .await;
--- a/crates/chicoryrail-router/tests/answers.rs
+++ b/crates/chicoryrail-router/tests/responses.rs
@@ -7,7 +7,7 @@
 
 use chicoryrail_core::Millis;
 use chicoryrail_runtime::block_on;
-use chicoryrail_testkit::AnswerHead;
+use chicoryrail_testkit::ResponseHead;
 use chicoryrail_testkit::TargetFault;
 use chicoryrail_testkit::TargetOptions;
 use rstest::rstest;
@@ -31,7 +31,7 @@
         let response = router.caller().get(&format!("/read/1?{query}")).await;
         let response = response.unwrap();
         assert_eq!(response.status(), 200);
-        assert!(AnswerHead::check(response.body()).is_some());
+        assert!(ResponseHead::check(response.body()).is_some());
     });
 }
 
@@ -137,12 +137,12 @@
         for i in 0..5 {
             let path = format!("/read/{i}");
             let response = caller.get(&path).await.unwrap();
-            let head = AnswerHead::check(response.body()).unwrap();
+            let head = ResponseHead::check(response.body()).unwrap();
             assert_eq!(head.path, path);
         }
         monoio::time::sleep(Millis(500).to_duration()).await;
         let response = caller.get("/read/after").await.unwrap();
-        let head = AnswerHead::check(response.body()).unwrap();
+        let head = ResponseHead::check(response.body()).unwrap();
         assert_eq!(head.path, "/read/after");
     });
 }
--- a/crates/chicoryrail-router/tests/slow_links.rs
+++ b/crates/chicoryrail-router/tests/slow_links.rs
@@ -10,7 +10,7 @@
 use chicoryrail_runtime::block_on;
 use chicoryrail_testkit::Link;
 use chicoryrail_testkit::LinkFault;
-use chicoryrail_testkit::Net;
+use chicoryrail_testkit::ProxyNet;
 use support::RouterProcess;
 use support::World;
 use support::wait_until;
@@ -23,9 +23,9 @@
 /// Additional routes of a large configuration.
 const EXTRA_ROUTES: usize = 2_000;
 
-fn slow_link(net: &mut Net, to: SocketAddr, rate: u64) -> Link {
-    let link = net.link_anywhere("slow", to).unwrap();
-    link.set(LinkFault {
+fn slow_link(net: &mut ProxyNet, to: SocketAddr, rate: u64) -> Link {
+    let link = net.link_any_port("slow", to).unwrap();
+    link.set_fault(LinkFault {
         drip: Some(rate),
         ..LinkFault::default()
     });
@@ -48,7 +48,7 @@
         let world = World::start("slow-store").await;
         world.configure_large(EXTRA_ROUTES).await;
         world.server("i-1", "desk").await;
-        let mut net = Net::start(1);
+        let mut net = ProxyNet::start(1);
         let link = slow_link(&mut net, world.store_addr(), STORE_LINK_RATE);
         let host = world.spawn_low_power_at("a", link.addr());
         wait_until_serving(&host).await;
@@ -70,7 +70,7 @@
         }
         // A second store, which lists the core hosts at the addresses of their slow links and has no configuration.
         let lists = World::start("slow-relay-list").await;
-        let mut net = Net::start(1);
+        let mut net = ProxyNet::start(1);
         let mut links = Vec::new();
         for (name, host) in ["a", "b", "c"].into_iter().zip(&core) {
             let link = slow_link(&mut net, host.peer_addr, RELAY_LINK_RATE);
--- a/crates/chicoryrail-router/tests/support/server.rs
+++ b/crates/chicoryrail-router/tests/support/server.rs
@@ -67,13 +67,13 @@
     }
 
     pub fn fault(&self, fault: TargetFault) {
-        self.target.fault(fault);
+        self.target.inject_fault(fault);
     }
 
     /// Handles all further requests in this mode.
     pub fn set_mode(&self, mode: Mode) {
         let (for_ms, share) = (FAULT_MS, 1.0);
-        self.target.fault(match mode {
+        self.target.inject_fault(match mode {
             Mode::Answer => return,
             Mode::Refuse => TargetFault::Refuse { for_ms, share },
             Mode::Fail => TargetFault::Fail { for_ms, share },
@@ -85,7 +85,7 @@
 
     /// Sets the service time of all further requests.
     pub fn set_work(&self, work: Millis) {
-        self.target.fault(TargetFault::Slow {
+        self.target.inject_fault(TargetFault::Slow {
             for_ms: FAULT_MS,
             factor: work.0 as f64 / SERVICE_TIME.0 as f64,
         });
@@ -93,7 +93,8 @@
 
     /// Ignores all further calls that grant or release keys.
     pub fn ignore_key_calls(&self) {
-        self.target.fault(TargetFault::Deaf { for_ms: FAULT_MS });
+        self.target
+            .inject_fault(TargetFault::Deaf { for_ms: FAULT_MS });
     }
 
     /// Sends a request to the server directly, without the router.
@@ -108,7 +109,7 @@
 
     /// Returns whether the server currently holds the lease of a key.
     pub fn owns(&self, key: u16) -> bool {
-        self.target.holds(key)
+        self.target.owns_key(key)
     }
 
     pub fn ledger(&self) -> Ledger {
--- a/crates/chicoryrail-router/tests/support/world.rs
+++ b/crates/chicoryrail-router/tests/support/world.rs
@@ -26,7 +26,7 @@
 use chicoryrail_testkit::StoreServer;
 use chicoryrail_testkit::StoreStats;
 use chicoryrail_testkit::TargetOptions;
-use chicoryrail_testkit::free_port;
+use chicoryrail_testkit::free_addr;
 use http::Request;
 use http::Response;
 use nix::sys::signal::Signal;
@@ -244,7 +244,7 @@
     }
 
     fn spawn_at(&self, name: &str, core: &str, store: SocketAddr) -> RouterProcess {
-        let [callers, readiness, peer_addr] = [(); 3].map(|()| free_port().unwrap());
+        let [callers, readiness, peer_addr] = [(); 3].map(|()| free_addr().unwrap());
         let boot = self.dir.join(format!("{name}.toml"));
         let text = include_str!("boot.toml")
             .replace("NAME", name)
--- a/crates/chicoryrail-testkit/src/bin/testkit-chaos.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-chaos.rs
@@ -60,14 +60,14 @@
     .descr("Runs a deployment under injected faults; the last line is a summary in JSON")
     .run();
     init_logs();
-    let mut options = ChaosOptions::new(deployment, seed).with_length(Millis(seconds * 1000));
-    options.only = fault_kinds
+    let mut options = ChaosOptions::new(deployment, seed).with_duration(Millis(seconds * 1000));
+    options.fault_kinds = fault_kinds
         .iter()
         .flat_map(|names| names.split(','))
         .map(str::to_owned)
         .collect();
-    options.bin = program_dir;
-    options.keep = keep_evidence;
+    options.program_dir = program_dir;
+    options.keep_evidence = keep_evidence;
 
     if let Err(e) = stop_on_signal(&options.stop) {
         return exit_with_error(&e.to_string());
--- a/crates/chicoryrail-testkit/src/bin/testkit-load.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-load.rs
@@ -44,8 +44,8 @@
         .argument::<SocketAddr>("ADDR")
         .some("at least one --host is required")
         .map(|addrs| {
-            let build = |callers| LoadHost {
-                callers,
+            let build = |addr| LoadHost {
+                addr,
                 readiness: None,
             };
             addrs.into_iter().map(build).collect::<Vec<_>>()
@@ -103,7 +103,7 @@
             all.map(|s| LoadService {
                 host: host_name.clone(),
                 keyed: keyed && s.kind == LoadKind::Lookup,
-                ..s.with_keys(keys as u32, skew).with_body(body)
+                ..s.with_keys(keys as u32, skew).with_body_bytes(body)
             })
             .collect::<Vec<_>>()
         },
@@ -112,7 +112,7 @@
         |s| !s.is_empty(),
         "at least one --lookup, --order or --report is required",
     );
-    let length = number_flag(
+    let duration = number_flag(
         "seconds",
         "CHICORYRAIL_TESTKIT_SECONDS",
         "Duration of the run in seconds",
@@ -148,7 +148,7 @@
     construct!(LoadOptions {
         hosts,
         services,
-        length,
+        duration,
         rate,
         callers,
         deadline,
--- a/crates/chicoryrail-testkit/src/bin/testkit-proxy.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-proxy.rs
@@ -12,8 +12,8 @@
 use chicoryrail_runtime::exit_with_error;
 use chicoryrail_runtime::json_response;
 use chicoryrail_testkit::Link;
-use chicoryrail_testkit::Net;
-use chicoryrail_testkit::stand_in;
+use chicoryrail_testkit::ProxyNet;
+use chicoryrail_testkit::run_stand_in;
 use http::Method;
 use http::Request;
 use http::Response;
@@ -75,12 +75,12 @@
         (Method::PUT, "/fault") => {
             let body = collect_body(request.into_body(), MAX_BODY_BYTES).await;
             match serde_json::from_slice(&body.unwrap_or_default()) {
-                Ok(fault) => link.set(fault),
+                Ok(fault) => link.set_fault(fault),
                 Err(e) => return error_response(400, &format!("fault: {e}")),
             }
         }
-        (Method::DELETE, "/fault") => link.heal(),
-        (Method::POST, "/reset") => link.reset(),
+        (Method::DELETE, "/fault") => link.clear_fault(),
+        (Method::POST, "/reset") => link.reset_connections(),
         (Method::GET, "/stats") => return json_response(200, &link.stats()),
         _ => return error_response(400, "unknown control request"),
     }
@@ -89,7 +89,7 @@
 
 fn main() -> ExitCode {
     let settings = settings();
-    let mut net = Net::start(settings.seed);
+    let mut net = ProxyNet::start(settings.seed);
     let link = match net.link_at("link", settings.listen, settings.upstream) {
         Ok(link) => link,
         Err(e) => {
@@ -97,7 +97,7 @@
             return exit_with_error(&text);
         }
     };
-    stand_in("control", settings.control, |listener, stop| {
+    run_stand_in("control", settings.control, |listener, stop| {
         listener.serve(stop, move |request| {
             let link = link.clone();
             async move { Ok(handle_control(link, request).await) }
--- a/crates/chicoryrail-testkit/src/bin/testkit-target.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-target.rs
@@ -13,7 +13,7 @@
 use chicoryrail_core::ServiceName;
 use chicoryrail_testkit::TargetOptions;
 use chicoryrail_testkit::TargetServer;
-use chicoryrail_testkit::stand_in;
+use chicoryrail_testkit::run_stand_in;
 
 fn target_options() -> impl Parser<TargetOptions> {
     let name = long("name")
@@ -62,13 +62,13 @@
         .argument::<u64>("N")
         .fallback(0)
         .display_fallback();
-    let cold_ms = millis_flag(
+    let warmup = millis_flag(
         "cold-ms",
         "CHICORYRAIL_TESTKIT_COLD_MS",
         "Length of the warm-up after a start, in milliseconds",
         0,
     );
-    let cold_bears = long("cold-bears")
+    let warmup_limit = long("cold-bears")
         .env("CHICORYRAIL_TESTKIT_COLD_BEARS")
         .help("Requests allowed in any second of the warm-up; more are recorded as an overrun")
         .argument::<u32>("N")
@@ -78,7 +78,7 @@
         .help("Address of the store in which the server registers; not registered if absent")
         .argument::<SocketAddr>("ADDR")
         .optional();
-    let shown = long("shown")
+    let advertised_addr = long("shown")
         .env("CHICORYRAIL_TESTKIT_SHOWN")
         .help("Address to register in the store; the listening address if absent")
         .argument::<SocketAddr>("ADDR")
@@ -103,10 +103,10 @@
         connections,
         keyed,
         service_us,
-        cold_ms,
-        cold_bears,
+        warmup,
+        warmup_limit,
         store,
-        shown,
+        advertised_addr,
         ledger,
         seed
     })
@@ -137,7 +137,7 @@
         .to_options()
         .descr("Runs a stand-in for a target (server)")
         .run();
-    stand_in("listen", listen, |listener, stop| async {
+    run_stand_in("listen", listen, |listener, stop| async {
         if let Err(e) = TargetServer::serve(options, listener, stop).await {
             log::error!("ledger: {e}");
         }
--- a/crates/chicoryrail-testkit/src/chaos.rs
+++ b/crates/chicoryrail-testkit/src/chaos.rs
@@ -1,8 +1,8 @@
 //! Chaos runs: real processes under random load and injected faults.
 
-mod act;
 mod context;
 mod fault;
+mod inject;
 mod options;
 mod run;
 mod summary;
--- a/crates/chicoryrail-testkit/src/chaos/act.rs
+++ b/crates/chicoryrail-testkit/src/chaos/inject.rs
@@ -13,7 +13,7 @@
 use crate::TargetFault;
 use crate::chaos::Fault;
 use crate::chaos::context::RunContext;
-use crate::wall_micros;
+use crate::unix_micros;
 
 /// Longest time for a planned stop of a process, in milliseconds; a slower process is killed.
 const STOP_TIMEOUT_MS: u64 = 15_000;
@@ -77,7 +77,7 @@
         }
         Fault::TargetReset { target } => {
             if let Some(link) = find_link(context, |l| l.target(target).clone()) {
-                link.reset();
+                link.reset_connections();
             }
             Ok(())
         }
@@ -107,15 +107,15 @@
 fn pause(context: &RunContext, member: Member, for_ms: u64) -> Result<(), String> {
     context.cluster().pause(member);
     context.sleep(for_ms);
-    context.cluster().thaw(member);
+    context.cluster().resume(member);
     Ok(())
 }
 
 fn pause_router(context: &RunContext, host: usize, for_ms: u64) -> Result<(), String> {
-    let from = wall_micros();
+    let from = unix_micros();
     pause(context, Member::Router(host), for_ms)?;
-    let host = context.cluster().hosts()[host].callers;
-    let until = wall_micros();
+    let host = context.cluster().hosts()[host].caller_addr;
+    let until = unix_micros();
     context.events().frozen.push(HostTime { host, from, until });
     Ok(())
 }
@@ -136,12 +136,12 @@
     let Some(link) = link else {
         return Err("the cluster has no links".to_owned());
     };
-    link.set(LinkFault {
+    link.set_fault(LinkFault {
         closed: link.fault().closed,
         ..fault.clone()
     });
     context.sleep(for_ms);
-    link.set(LinkFault {
+    link.set_fault(LinkFault {
         closed: link.fault().closed,
         ..LinkFault::default()
     });
@@ -235,8 +235,8 @@
     };
     let (first_site, second_site) = (variant(250), variant(350));
     let (first, second) = std::thread::scope(|s| {
-        let first = s.spawn(|| operator.put("ada", &first_site));
-        let second = operator.put("ben", &second_site);
+        let first = s.spawn(|| operator.put_config("ada", &first_site));
+        let second = operator.put_config("ben", &second_site);
         (first.join(), second)
     });
     match (first, second) {
@@ -255,10 +255,10 @@
         (DcName::new(name), servers)
     };
     let operator = &context.operator;
-    let taken_out = operator.take_out(&name);
-    let from = wall_micros() + DRAIN_BOUND_US;
+    let taken_out = operator.drain(&name);
+    let from = unix_micros() + DRAIN_BOUND_US;
     context.sleep(for_ms);
-    let until = wall_micros();
+    let until = unix_micros();
     if taken_out.is_ok() {
         context.events().outs.push(OutPeriod {
             servers,
@@ -268,7 +268,7 @@
     }
     let mut restored = Ok(());
     for _ in 0..RESTORE_ATTEMPTS {
-        restored = operator.bring_back(&name);
+        restored = operator.restore(&name);
         if restored.is_ok() {
             break;
         }
@@ -282,9 +282,9 @@
     let plan = context.cluster().targets()[target].clone();
     let announced = context.cluster().put_fault(plan.addr, &TargetFault::Leave);
     announced.map_err(|e| e.to_string())?;
-    let from = wall_micros() + LEAVE_BOUND_US;
+    let from = unix_micros() + LEAVE_BOUND_US;
     context.sleep(LEAVE_DURATION_MS);
-    let until = wall_micros();
+    let until = unix_micros();
     context.events().outs.push(OutPeriod {
         servers: vec![plan.name],
         from,
@@ -306,10 +306,10 @@
         }
         let restarted = context.cluster().restart(Member::Router(host));
         restarted.map_err(|e| e.to_string())?;
-        let addr = context.cluster().hosts()[host].readiness;
+        let addr = context.cluster().hosts()[host].readiness_addr;
         let timeout = Millis(500);
         let ready = context.wait_until(READY_TIMEOUT_MS, || {
-            crate::cluster::is_ok(addr, "/-/readyz", timeout)
+            crate::cluster::responds_ok(addr, "/-/readyz", timeout)
         });
         if !ready {
             notes.push(format!(
@@ -326,13 +326,13 @@
 
 fn planned_stop(context: &RunContext, host: usize) -> Result<(), String> {
     let member = Member::Router(host);
-    let from = wall_micros();
-    context.cluster().ask_to_stop(member);
+    let from = unix_micros();
+    context.cluster().request_stop(member);
     let ended = context.wait_until(STOP_TIMEOUT_MS, || !context.cluster().is_running(member));
-    let until = wall_micros();
+    let until = unix_micros();
     // Reaps the process, closes its ports, and kills it if it is still running.
     context.cluster().kill(member);
-    let host = context.cluster().hosts()[host].callers;
+    let host = context.cluster().hosts()[host].caller_addr;
     context.events().stops.push(HostTime { host, from, until });
     if ended {
         Ok(())
--- a/crates/chicoryrail-testkit/src/chaos/options.rs
+++ b/crates/chicoryrail-testkit/src/chaos/options.rs
@@ -14,7 +14,7 @@
     /// Seed of the faults, the load and the stand-ins.
     pub seed: u64,
     /// Duration of the load; no fault starts in the last seconds of it.
-    pub length: Millis,
+    pub duration: Millis,
     /// Deployment whose data centres, services and targets the cluster has.
     pub deployment: Deployment,
     /// Number of entry hosts.
@@ -22,11 +22,11 @@
     /// Requests per second.
     pub rate: f64,
     /// Names of the kinds of faults to inject, as in JSON; empty for the default kinds.
-    pub only: Vec<String>,
+    pub fault_kinds: Vec<String>,
     /// Directory of the programs; `None` for that of the running program.
-    pub bin: Option<PathBuf>,
+    pub program_dir: Option<PathBuf>,
     /// Whether logs and ledgers are kept after a run without violations.
-    pub keep: bool,
+    pub keep_evidence: bool,
     /// Flag that another thread sets to end the run early.
     pub stop: Arc<AtomicBool>,
 }
@@ -39,21 +39,21 @@
     pub fn new(deployment: Deployment, seed: u64) -> Self {
         Self {
             seed,
-            length: Millis(20_000),
+            duration: Millis(20_000),
             deployment,
             hosts: 5,
             rate: 250.0,
-            only: Vec::new(),
-            bin: None,
-            keep: false,
+            fault_kinds: Vec::new(),
+            program_dir: None,
+            keep_evidence: false,
             stop: Arc::default(),
         }
     }
 
     /// Sets the duration of the load.
     #[must_use]
-    pub fn with_length(mut self, length: Millis) -> Self {
-        self.length = length;
+    pub fn with_duration(mut self, duration: Millis) -> Self {
+        self.duration = duration;
         self
     }
 }
--- a/crates/chicoryrail-testkit/src/chaos/run.rs
+++ b/crates/chicoryrail-testkit/src/chaos/run.rs
@@ -23,7 +23,7 @@
 use crate::chaos::fault::ClusterSize;
 use crate::chaos::options::ChaosOptions;
 use crate::chaos::worker::run_worker;
-use crate::wall_micros;
+use crate::unix_micros;
 
 /// Number of worker threads that inject faults: this many faults can be active at once.
 const WORKERS: u64 = 2;
@@ -61,12 +61,12 @@
     };
     let load = Load::new(load(options, &cluster));
     let context = RunContext::new(cluster, std::sync::Arc::clone(&options.stop));
-    let end_us = wall_micros() + options.length.since(RECOVERY_TIME).0 * 1000;
+    let end_us = unix_micros() + options.duration.since(RECOVERY_TIME).0 * 1000;
     let progress = load.progress();
     let records = std::thread::scope(|s| {
         for i in 0..WORKERS {
             let (context, seed) = (&context, options.seed.wrapping_mul(WORKERS).wrapping_add(i));
-            s.spawn(move || run_worker(context, seed, size, &options.only, end_us));
+            s.spawn(move || run_worker(context, seed, size, &options.fault_kinds, end_us));
         }
         let load_thread = s.spawn(|| block_on(load.run()));
         while !load_thread.is_finished() {
@@ -85,24 +85,24 @@
 fn start(options: &ChaosOptions) -> Result<Cluster, ClusterError> {
     let mut cluster = ClusterOptions::new(options.deployment)
         .with_hosts(options.hosts)
-        .with_cold(WARMUP_TIME)
+        .with_warmup(WARMUP_TIME)
         .with_proxy();
     cluster.seed = options.seed;
-    cluster.bin.clone_from(&options.bin);
+    cluster.program_dir.clone_from(&options.program_dir);
     Cluster::start(cluster)
 }
 
 fn load(options: &ChaosOptions, cluster: &Cluster) -> LoadOptions {
     let with_few_keys = |s: LoadService| s.with_keys(KEYS_PER_SERVICE, 0.0);
     LoadOptions {
-        hosts: cluster.entries(),
+        hosts: cluster.load_hosts(),
         services: options
             .deployment
             .load()
             .into_iter()
             .map(with_few_keys)
             .collect(),
-        length: options.length,
+        duration: options.duration,
         rate: Some(options.rate),
         seed: options.seed,
         ..LoadOptions::default()
@@ -115,7 +115,7 @@
     records: Vec<CallRecord>,
 ) -> Result<Summary, ClusterError> {
     let mut cluster = context.cluster();
-    let crashed = cluster.check().err().map(|e| e.to_string());
+    let crashed = cluster.ensure_running().err().map(|e| e.to_string());
     let RunEvents {
         mut faults,
         outs,
@@ -138,7 +138,7 @@
         ..Summary::of(&evidence.records, &faults).with_violations(&violations)
     };
     let dir = cluster.dir().to_owned();
-    if summary.is_clean() && !options.keep {
+    if summary.is_clean() && !options.keep_evidence {
         let _ = fs::remove_dir_all(dir);
         return Ok(summary);
     }
--- a/crates/chicoryrail-testkit/src/chaos/worker.rs
+++ b/crates/chicoryrail-testkit/src/chaos/worker.rs
@@ -4,12 +4,12 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::chaos::act;
 use crate::chaos::context::RunContext;
 use crate::chaos::fault::ClusterSize;
 use crate::chaos::fault::Fault;
 use crate::chaos::fault::FaultRecord;
-use crate::wall_micros;
+use crate::chaos::inject;
+use crate::unix_micros;
 
 /// Injects faults until the wall clock reaches `end_us`, in microseconds.
 ///
@@ -28,16 +28,16 @@
         let Some(fault) = Fault::random(&mut rng, size, kinds) else {
             return;
         };
-        if context.is_stopped() || wall_micros() >= end_us {
+        if context.is_stopped() || unix_micros() >= end_us {
             return;
         }
-        let from = wall_micros();
+        let from = unix_micros();
         log::info!("fault {fault:?}");
-        let note = act::inject(context, &fault).err().unwrap_or_default();
+        let note = inject::inject(context, &fault).err().unwrap_or_default();
         let record = FaultRecord {
             fault,
             from,
-            until: wall_micros(),
+            until: unix_micros(),
             note,
         };
         context.events().faults.push(record);
--- a/crates/chicoryrail-testkit/src/cluster/control.rs
+++ b/crates/chicoryrail-testkit/src/cluster/control.rs
@@ -24,12 +24,12 @@
     }
 
     /// Resumes a paused process with SIGCONT.
-    pub fn thaw(&mut self, member: Member) {
+    pub fn resume(&mut self, member: Member) {
         self.with_process(member, |p| p.signal(Signal::SIGCONT));
     }
 
     /// Sends SIGTERM and returns without waiting for the process to exit.
-    pub fn ask_to_stop(&mut self, member: Member) {
+    pub fn request_stop(&mut self, member: Member) {
         self.with_process(member, |p| p.signal(Signal::SIGTERM));
     }
 
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// Returns the first process that is not running, with its exit status and the path of its log.
-    pub fn check(&mut self) -> Result<(), ClusterError> {
+    pub fn ensure_running(&mut self) -> Result<(), ClusterError> {
         self.processes
             .values_mut()
             .try_for_each(Process::ensure_running)
@@ -91,7 +91,7 @@
             return;
         };
         for link in links.links_to(member) {
-            link.set(LinkFault {
+            link.set_fault(LinkFault {
                 closed: !open,
                 ..link.fault()
             });
--- a/crates/chicoryrail-testkit/src/cluster/harness.rs
+++ b/crates/chicoryrail-testkit/src/cluster/harness.rs
@@ -48,7 +48,7 @@
     ///
     /// Returns an error if a process can't be started or does not respond.
     pub fn start(options: ClusterOptions) -> Result<Self, ClusterError> {
-        let program_dir = match &options.bin {
+        let program_dir = match &options.program_dir {
             Some(program_dir) => program_dir.clone(),
             None => default_program_dir()?,
         };
@@ -125,10 +125,10 @@
 
     /// Returns the addresses that callers and the load balancer use, one entry per host.
     #[must_use]
-    pub fn entries(&self) -> Vec<LoadHost> {
+    pub fn load_hosts(&self) -> Vec<LoadHost> {
         let load_host = |h: &HostPlan| LoadHost {
-            callers: h.callers,
-            readiness: Some(h.readiness),
+            addr: h.caller_addr,
+            readiness: Some(h.readiness_addr),
         };
         self.hosts.iter().map(load_host).collect()
     }
@@ -181,7 +181,7 @@
             if let Err(error) =
                 wait_until_ok(host.metrics_addr, "/metrics", START_TIMEOUT, &operation)
             {
-                self.check()?;
+                self.ensure_running()?;
                 return Err(error);
             }
         }
--- a/crates/chicoryrail-testkit/src/cluster/http.rs
+++ b/crates/chicoryrail-testkit/src/cluster/http.rs
@@ -50,7 +50,7 @@
 }
 
 /// Returns whether a `GET` request returns status 200.
-pub(crate) fn is_ok(addr: SocketAddr, path: &str, timeout: Millis) -> bool {
+pub(crate) fn responds_ok(addr: SocketAddr, path: &str, timeout: Millis) -> bool {
     matches!(
         call_blocking(&Method::GET, addr, path, "", timeout),
         Ok((200, _))
@@ -66,7 +66,7 @@
 ) -> Result<(), ClusterError> {
     let deadline = Instant::now() + timeout.to_duration();
     while Instant::now() < deadline {
-        if is_ok(addr, path, Millis(1_000)) {
+        if responds_ok(addr, path, Millis(1_000)) {
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/chicoryrail-testkit/src/cluster/links.rs
+++ b/crates/chicoryrail-testkit/src/cluster/links.rs
@@ -6,7 +6,7 @@
 use crate::HostPlan;
 use crate::Link;
 use crate::Member;
-use crate::Net;
+use crate::ProxyNet;
 use crate::TargetPlan;
 
 /// The proxied links of a cluster; each forwards all traffic until a fault is set on it.
@@ -18,7 +18,7 @@
 pub struct Links {
     store_links: Vec<Link>,
     target_links: Vec<Link>,
-    _net: Net,
+    _net: ProxyNet,
 }
 
 impl Links {
@@ -29,7 +29,7 @@
         targets: &mut [TargetPlan],
         hosts: &[HostPlan],
     ) -> io::Result<Self> {
-        let mut net = Net::start(seed);
+        let mut net = ProxyNet::start(seed);
         let mut store_links = Vec::new();
         for host in hosts {
             store_links.push(net.link(&format!("{} to store", host.name), store)?);
--- a/crates/chicoryrail-testkit/src/cluster/member.rs
+++ b/crates/chicoryrail-testkit/src/cluster/member.rs
@@ -50,9 +50,9 @@
     /// Data centre.
     pub dc: String,
     /// Address of the listener for callers.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Address of the listener for the load balancer's health checks.
-    pub readiness: SocketAddr,
+    pub readiness_addr: SocketAddr,
     /// Address of the metrics endpoint.
     pub metrics_addr: SocketAddr,
     /// Address for messages between hosts.
--- a/crates/chicoryrail-testkit/src/cluster/operator.rs
+++ b/crates/chicoryrail-testkit/src/cluster/operator.rs
@@ -33,7 +33,7 @@
     /// # Errors
     ///
     /// Returns what `chicoryctl` printed to standard error if it fails.
-    pub fn put(&self, name: &str, site: &Site) -> Result<(), ClusterError> {
+    pub fn put_config(&self, name: &str, site: &Site) -> Result<(), ClusterError> {
         let text = toml::to_string(&SiteFile::from_site(site)).map_err(|e| ClusterError::Call {
             operation: "write the configuration".to_owned(),
             message: e.to_string(),
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// Returns what `chicoryctl` printed to standard error if it fails.
-    pub fn take_out(&self, dc: &DcName) -> Result<(), ClusterError> {
+    pub fn drain(&self, dc: &DcName) -> Result<(), ClusterError> {
         self.run(&["dc", "out", dc.as_str(), "--force"]).map(|_| ())
     }
 
@@ -58,7 +58,7 @@
     /// # Errors
     ///
     /// Returns what `chicoryctl` printed to standard error if it fails.
-    pub fn bring_back(&self, dc: &DcName) -> Result<(), ClusterError> {
+    pub fn restore(&self, dc: &DcName) -> Result<(), ClusterError> {
         self.run(&["dc", "in", dc.as_str()]).map(|_| ())
     }
 
@@ -102,10 +102,10 @@
     ///
     /// Returns an error if the configuration is rejected or a host is not ready within `timeout`.
     pub fn configure(&self, timeout: Millis) -> Result<(), ClusterError> {
-        self.operator().put("first", &self.site())?;
+        self.operator().put_config("first", &self.site())?;
         for host in &self.hosts {
             let operation = format!("readiness of {}", host.name);
-            wait_until_ok(host.readiness, "/-/readyz", timeout, &operation)?;
+            wait_until_ok(host.readiness_addr, "/-/readyz", timeout, &operation)?;
         }
         Ok(())
     }
--- a/crates/chicoryrail-testkit/src/cluster/options.rs
+++ b/crates/chicoryrail-testkit/src/cluster/options.rs
@@ -14,7 +14,7 @@
     /// Number of entry hosts, each with a router.
     pub hosts: usize,
     /// Directory of the programs; that of the running program if `None`.
-    pub bin: Option<PathBuf>,
+    pub program_dir: Option<PathBuf>,
     /// Directory for logs, ledgers and boot files; `None` creates one in `testkit-runs` beside the program directory.
     pub run_dir: Option<PathBuf>,
     /// Service time of the targets in microseconds.
@@ -42,7 +42,7 @@
         Self {
             deployment,
             hosts: deployment.data_centres().len(),
-            bin: None,
+            program_dir: None,
             run_dir: None,
             service_us: 2_000,
             warmup: Millis::ZERO,
@@ -64,7 +64,7 @@
 
     /// Sets the time for which a target warms up after its start.
     #[must_use]
-    pub fn with_cold(mut self, warmup: Millis) -> Self {
+    pub fn with_warmup(mut self, warmup: Millis) -> Self {
         self.warmup = warmup;
         self
     }
--- a/crates/chicoryrail-testkit/src/cluster/plan.rs
+++ b/crates/chicoryrail-testkit/src/cluster/plan.rs
@@ -10,10 +10,10 @@
 use crate::HostPlan;
 use crate::TargetPlan;
 use crate::cluster::error::PortSnafu;
-use crate::cluster::ports::free_port;
+use crate::cluster::ports::free_addr;
 
 pub(crate) fn listen_addr() -> Result<SocketAddr, ClusterError> {
-    free_port().context(PortSnafu)
+    free_addr().context(PortSnafu)
 }
 
 /// Distributes the servers of each service over the data centres, round robin.
@@ -47,8 +47,8 @@
         Ok(HostPlan {
             name: format!("{}-host-{}", options.deployment, i + 1),
             dc: dcs[i % dcs.len()].to_owned(),
-            callers: listen_addr()?,
-            readiness: listen_addr()?,
+            caller_addr: listen_addr()?,
+            readiness_addr: listen_addr()?,
             metrics_addr: listen_addr()?,
             peer_addr: listen_addr()?,
         })
@@ -62,8 +62,8 @@
         include_str!("boot.toml")
             .replace("NAME", &self.name)
             .replace("ZONE", &self.dc)
-            .replace("CALLERS", &self.callers.to_string())
-            .replace("READINESS", &self.readiness.to_string())
+            .replace("CALLERS", &self.caller_addr.to_string())
+            .replace("READINESS", &self.readiness_addr.to_string())
             .replace("TALK", &self.peer_addr.port().to_string())
             .replace("IP", &self.peer_addr.ip().to_string())
             .replace("STORE", &store.to_string())
--- a/crates/chicoryrail-testkit/src/cluster/ports.rs
+++ b/crates/chicoryrail-testkit/src/cluster/ports.rs
@@ -37,7 +37,7 @@
 /// # Errors
 ///
 /// Returns `AddrInUse` if no free port is found in 1,000 attempts.
-pub fn free_port() -> io::Result<SocketAddr> {
+pub fn free_addr() -> io::Result<SocketAddr> {
     let mut allocated = ALLOCATED_PORTS
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
--- a/crates/chicoryrail-testkit/src/listener.rs
+++ b/crates/chicoryrail-testkit/src/listener.rs
@@ -29,7 +29,7 @@
 /// The error with which a handler closes the connection without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the connection is closed without a response"))]
-pub struct Cut;
+pub struct ConnectionCut;
 
 /// A bound listener with a limit on open connections.
 ///
@@ -89,7 +89,7 @@
     pub async fn serve<H, F>(self, stop: CancellationToken, handler: H)
     where
         H: Fn(Request<Incoming>) -> F + 'static,
-        F: Future<Output = Result<Response<Body>, Cut>> + 'static,
+        F: Future<Output = Result<Response<Body>, ConnectionCut>> + 'static,
     {
         let handler = Rc::new(handler);
         loop {
@@ -119,7 +119,7 @@
 async fn serve_connection<H, F>(stream: TcpStream, peer: SocketAddr, handler: Rc<H>)
 where
     H: Fn(Request<Incoming>) -> F + 'static,
-    F: Future<Output = Result<Response<Body>, Cut>> + 'static,
+    F: Future<Output = Result<Response<Body>, ConnectionCut>> + 'static,
 {
     let _ = stream.set_nodelay(true);
     let Ok(io) = stream.try_into_poll_io() else {
@@ -138,7 +138,7 @@
 /// Runs a stand-in as a process: binds `addr`, prints `listening ADDR` and serves until SIGTERM or SIGINT.
 ///
 /// `flag` is the command-line flag that set `addr`; an error names it.
-pub fn stand_in<S, F>(flag: &'static str, addr: SocketAddr, serve: S) -> ExitCode
+pub fn run_stand_in<S, F>(flag: &'static str, addr: SocketAddr, serve: S) -> ExitCode
 where
     S: FnOnce(Listener, CancellationToken) -> F,
     F: Future<Output = ()>,
--- a/crates/chicoryrail-testkit/src/load/balancer.rs
+++ b/crates/chicoryrail-testkit/src/load/balancer.rs
@@ -37,7 +37,7 @@
     /// Starts the health checks; they end with the runtime.
     pub(crate) fn start(hosts: &[LoadHost]) -> Self {
         let checked = hosts.iter().map(|h| CheckedHost {
-            callers: h.callers,
+            callers: h.addr,
             healthy: Cell::new(true),
         });
         let this = Self {
--- a/crates/chicoryrail-testkit/src/load/call.rs
+++ b/crates/chicoryrail-testkit/src/load/call.rs
@@ -16,11 +16,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::AnswerHead;
 use crate::LoadKind;
+use crate::ResponseHead;
 use crate::load::mix::PlannedRequest;
 use crate::load::pool::Pool;
-use crate::wall_micros;
+use crate::unix_micros;
 
 /// Time after its deadline at which a request counts as hung.
 const HANG_GRACE: Millis = Millis(1_000);
@@ -117,7 +117,7 @@
         record.outcome = Outcome::Unknown;
         record.hung = true;
     }
-    record.ended = wall_micros();
+    record.ended = unix_micros();
     record
 }
 
@@ -215,7 +215,7 @@
     if !stamped {
         return Some("the response carries no stamp of a server".to_owned());
     }
-    let Some(head) = AnswerHead::check(body) else {
+    let Some(head) = ResponseHead::check(body) else {
         return Some(format!("body of {} bytes is incomplete", body.len()));
     };
     if head.request != planned.id || head.path != planned.path {
--- a/crates/chicoryrail-testkit/src/load/host.rs
+++ b/crates/chicoryrail-testkit/src/load/host.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadHost {
     /// Address of the listener for callers.
-    pub callers: SocketAddr,
+    pub addr: SocketAddr,
     /// Address of the readiness check for the load balancer; `None` if the host always counts as healthy.
     pub readiness: Option<SocketAddr>,
 }
--- a/crates/chicoryrail-testkit/src/load/mix.rs
+++ b/crates/chicoryrail-testkit/src/load/mix.rs
@@ -88,7 +88,7 @@
 
     /// Sets the bytes of a response body after its first line.
     #[must_use]
-    pub fn with_body(mut self, bytes: u64) -> Self {
+    pub fn with_body_bytes(mut self, bytes: u64) -> Self {
         self.body = bytes;
         self
     }
--- a/crates/chicoryrail-testkit/src/load/run.rs
+++ b/crates/chicoryrail-testkit/src/load/run.rs
@@ -22,7 +22,7 @@
 use crate::load::call::call;
 use crate::load::mix::Mix;
 use crate::load::pool::Pool;
-use crate::wall_micros;
+use crate::unix_micros;
 
 /// Maximum number of requests in flight in an open loop. Further requests wait; their latency still counts from
 /// their intended start.
@@ -36,7 +36,7 @@
     /// Services that requests are sent to.
     pub services: Vec<LoadService>,
     /// Duration of the run.
-    pub length: Millis,
+    pub duration: Millis,
     /// Requests per second in an open loop; `None` for a closed loop.
     pub rate: Option<f64>,
     /// Number of concurrent callers in a closed loop.
@@ -52,7 +52,7 @@
         Self {
             hosts: Vec::new(),
             services: Vec::new(),
-            length: Millis(5_000),
+            duration: Millis(5_000),
             rate: None,
             callers: 8,
             deadline: Millis(1_000),
@@ -125,7 +125,7 @@
             "the load needs a service"
         );
         let seed = self.options.seed;
-        let start = wall_micros();
+        let start = unix_micros();
         let prefix = format!("r{seed}-{:x}", start / 1000);
         let mix = Mix::new(&self.options.services, &prefix);
         let shared = Rc::new(Shared {
@@ -136,7 +136,7 @@
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             records: RefCell::default(),
             in_flight: Cell::new(0),
-            end_us: start + self.options.length.0 * 1000,
+            end_us: start + self.options.duration.0 * 1000,
             options: self.options,
         });
         match shared.options.rate {
@@ -156,7 +156,7 @@
         if intended >= shared.end_us || shared.progress.stop.load(Relaxed) {
             break;
         }
-        let wait = intended.saturating_sub(wall_micros());
+        let wait = intended.saturating_sub(unix_micros());
         if wait > 0 {
             monoio::time::sleep(Duration::from_micros(wait)).await;
         }
@@ -180,8 +180,8 @@
     let callers = (0..shared.options.callers).map(|_| {
         let shared = Rc::clone(shared);
         monoio::spawn(async move {
-            while wall_micros() < shared.end_us && !shared.progress.stop.load(Relaxed) {
-                send_one(&shared, wall_micros()).await;
+            while unix_micros() < shared.end_us && !shared.progress.stop.load(Relaxed) {
+                send_one(&shared, unix_micros()).await;
             }
         })
     });
--- a/crates/chicoryrail-testkit/src/proxy.rs
+++ b/crates/chicoryrail-testkit/src/proxy.rs
@@ -9,4 +9,4 @@
 pub use fault::LinkFault;
 pub use link::Link;
 pub use link::LinkStats;
-pub use net::Net;
+pub use net::ProxyNet;
--- a/crates/chicoryrail-testkit/src/proxy/link.rs
+++ b/crates/chicoryrail-testkit/src/proxy/link.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Default)]
 struct State {
     fault: LinkFault,
-    /// Number of calls of [`Link::reset`].
+    /// Number of calls of [`Link::reset_connections`].
     resets: u64,
     stats: LinkStats,
 }
@@ -78,17 +78,17 @@
     }
 
     /// Replaces the fault of the link; it applies to open connections too.
-    pub fn set(&self, fault: LinkFault) {
+    pub fn set_fault(&self, fault: LinkFault) {
         self.state().fault = fault;
     }
 
     /// Ends the fault.
-    pub fn heal(&self) {
-        self.set(LinkFault::default());
+    pub fn clear_fault(&self) {
+        self.set_fault(LinkFault::default());
     }
 
     /// Closes the open connections.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.state().resets += 1;
     }
 
--- a/crates/chicoryrail-testkit/src/proxy/net.rs
+++ b/crates/chicoryrail-testkit/src/proxy/net.rs
@@ -13,20 +13,20 @@
 use chicoryrail_runtime::block_on;
 
 use crate::Link;
-use crate::free_port;
+use crate::free_addr;
 use crate::proxy::link::POLL_INTERVAL;
 use crate::proxy::serve;
 
 /// A thread that runs a proxy for each link; dropping it ends the thread and all links.
 #[derive(Debug)]
-pub struct Net {
+pub struct ProxyNet {
     seed: u64,
     link_count: u64,
     new_links: Option<Sender<(Link, TcpListener)>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Net {
+impl ProxyNet {
     /// Starts the thread. Each link gets a seed derived from `seed`.
     #[must_use]
     pub fn start(seed: u64) -> Self {
@@ -46,7 +46,7 @@
     ///
     /// Returns the system's error if no port can be bound.
     pub fn link(&mut self, name: &str, upstream: SocketAddr) -> io::Result<Link> {
-        let addr = free_port()?;
+        let addr = free_addr()?;
         self.link_at(name, addr, upstream)
     }
 
@@ -78,12 +78,12 @@
     /// # Errors
     ///
     /// Returns the system's error if no port can be bound.
-    pub fn link_anywhere(&mut self, name: &str, upstream: SocketAddr) -> io::Result<Link> {
+    pub fn link_any_port(&mut self, name: &str, upstream: SocketAddr) -> io::Result<Link> {
         self.link_at(name, (Ipv4Addr::LOCALHOST, 0).into(), upstream)
     }
 }
 
-impl Drop for Net {
+impl Drop for ProxyNet {
     fn drop(&mut self) {
         // Closes the channel, which ends the thread.
         self.new_links = None;
--- a/crates/chicoryrail-testkit/src/store/control.rs
+++ b/crates/chicoryrail-testkit/src/store/control.rs
@@ -11,7 +11,7 @@
 
 use crate::StoreFault;
 use crate::StoreServer;
-use crate::query;
+use crate::query_param;
 
 impl StoreServer {
     /// Executes a call to `/testkit/...`, to which neither faults nor rate limits apply.
@@ -20,7 +20,7 @@
         match (method.clone(), uri.path()) {
             (Method::GET, "/testkit/stats") => json_response(200, &state.stats),
             (Method::GET, "/testkit/history") => {
-                let prefix: String = query(uri, "prefix").unwrap_or_default();
+                let prefix: String = query_param(uri, "prefix").unwrap_or_default();
                 json_response(200, &state.kv.history(&prefix))
             }
             (Method::PUT, "/testkit/fault") => match serde_json::from_slice::<StoreFault>(body) {
@@ -40,7 +40,7 @@
                 json_response(200, &())
             }
             (Method::PUT, "/testkit/deafen") => {
-                let for_ms = query(uri, "for_ms").unwrap_or(0);
+                let for_ms = query_param(uri, "for_ms").unwrap_or(0);
                 state.stalled_until = self.clock.now() + Millis(for_ms);
                 state.wake_watches();
                 json_response(200, &())
--- a/crates/chicoryrail-testkit/src/store/kv.rs
+++ b/crates/chicoryrail-testkit/src/store/kv.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::wall_micros;
+use crate::unix_micros;
 
 /// Largest value in bytes; the platform's store has the same limit.
 const VALUE_MAX_BYTES: usize = 1 << 20;
@@ -243,7 +243,7 @@
                 key: key.to_owned(),
                 version: self.revision,
                 value: value.map(text),
-                time: wall_micros(),
+                time: unix_micros(),
             });
         }
     }
--- a/crates/chicoryrail-testkit/src/store/server.rs
+++ b/crates/chicoryrail-testkit/src/store/server.rs
@@ -27,11 +27,11 @@
 use hyper::body::Incoming;
 use monoio::time::timeout;
 
-use crate::Cut;
+use crate::ConnectionCut;
 use crate::Listener;
 use crate::StoreOptions;
 use crate::TxnError;
-use crate::query;
+use crate::query_param;
 use crate::store::state::State;
 use crate::store::watch_guard::WatchGuard;
 
@@ -88,7 +88,7 @@
         }
     }
 
-    async fn respond(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<Body>, ConnectionCut> {
         let (head, body) = request.into_parts();
         let Ok(body) = collect_body(body, BODY_MAX_BYTES).await else {
             return Ok(too_large());
@@ -113,7 +113,7 @@
         let silence_count = self.state.borrow().faults.silence_count;
         match call_faults.down {
             Some(true) => return Ok(error_response(503, "fault: down")),
-            Some(false) => return Err(Cut),
+            Some(false) => return Err(ConnectionCut),
             None => {}
         }
         let response = self.execute(&head.method, &head.uri, &body).await;
@@ -121,7 +121,7 @@
             std::future::pending::<()>().await;
         }
         if call_faults.lost {
-            Err(Cut)
+            Err(ConnectionCut)
         } else {
             Ok(response)
         }
@@ -215,8 +215,8 @@
 
     async fn watch(&self, uri: &Uri) -> Response<Body> {
         let prefix = text_param(uri, "prefix");
-        let after = query(uri, "after").unwrap_or(0);
-        let wait = Millis(query(uri, "wait_ms").unwrap_or(0)).min(WAIT_MAX);
+        let after = query_param(uri, "after").unwrap_or(0);
+        let wait = Millis(query_param(uri, "wait_ms").unwrap_or(0)).min(WAIT_MAX);
         let deadline = self.clock.now() + wait;
         self.state.borrow_mut().stats.watches += 1;
         let _guard = WatchGuard::new(&self.state);
@@ -304,7 +304,7 @@
 
 /// Returns a percent-decoded query parameter; empty if it is missing.
 fn text_param(uri: &Uri, name: &str) -> String {
-    let raw: String = query(uri, name).unwrap_or_default();
+    let raw: String = query_param(uri, name).unwrap_or_default();
     let bytes = percent_decode(&raw).unwrap_or_default();
     String::from_utf8_lossy(&bytes).into_owned()
 }
--- a/crates/chicoryrail-testkit/src/store/state.rs
+++ b/crates/chicoryrail-testkit/src/store/state.rs
@@ -13,10 +13,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreOptions {
     /// Writes accepted a second; the others get status 429. `None` sets no limit.
-    pub writes: Option<u32>,
+    pub writes_per_s: Option<u32>,
     /// Reads accepted a second, each watch and lease renewal counted as one; the others get status 429. `None` sets no
     /// limit.
-    pub reads: Option<u32>,
+    pub reads_per_s: Option<u32>,
     /// Seed of the random choice of the calls that a fault affects.
     pub seed: u64,
 }
@@ -66,8 +66,8 @@
             kv: Kv::default(),
             stats: StoreStats::default(),
             faults: StoreFaults::new(options.seed),
-            write_limiter: RateLimiter::new(options.writes),
-            read_limiter: RateLimiter::new(options.reads),
+            write_limiter: RateLimiter::new(options.writes_per_s),
+            read_limiter: RateLimiter::new(options.reads_per_s),
             changed: CancellationToken::new(),
             stalled_until: Millis::ZERO,
         }
--- a/crates/chicoryrail-testkit/src/target.rs
+++ b/crates/chicoryrail-testkit/src/target.rs
@@ -1,7 +1,7 @@
 //! A stand-in of a target (server), served over HTTP.
 
 mod fault;
-mod holding;
+mod leased_keys;
 mod ledger;
 mod limit_check;
 mod options;
@@ -14,13 +14,13 @@
 mod work;
 
 pub use fault::TargetFault;
-pub use holding::FenceOld;
-pub use holding::Holding;
-pub use holding::Permit;
+pub use leased_keys::LeasedKeys;
+pub use leased_keys::Permit;
+pub use leased_keys::StaleFence;
 pub use ledger::Ledger;
 pub use ledger::LimitOverrun;
 pub use ledger::Overrun;
 pub use ledger::Run;
 pub use options::TargetOptions;
-pub use response::AnswerHead;
+pub use response::ResponseHead;
 pub use server::TargetServer;
--- a/crates/chicoryrail-testkit/src/target/fault.rs
+++ b/crates/chicoryrail-testkit/src/target/fault.rs
@@ -22,7 +22,7 @@
     },
     /// The server loses its caches and starts a new warm-up.
     Cold {
-        /// Duration of the warm-up in milliseconds; [`crate::TargetOptions::cold_ms`] if absent.
+        /// Duration of the warm-up in milliseconds; [`crate::TargetOptions::warmup`] if absent.
         #[serde(default)]
         for_ms: Option<u64>,
     },
--- a/crates/chicoryrail-testkit/src/target/holding.rs
+++ b/crates/chicoryrail-testkit/src/target/leased_keys.rs
@@ -8,7 +8,7 @@
 
 /// The error of a grant whose fencing token is lower than one already seen on one of its keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FenceOld;
+pub struct StaleFence;
 
 /// The fence and the lease of one key.
 #[derive(Clone, Copy, Debug, Default)]
@@ -26,7 +26,7 @@
 /// A request runs only while the server owns its key: from the arrival of a grant until the lease's length has
 /// passed or the key is released. A grant whose fence is below the highest seen on one of its keys has no effect.
 #[derive(Clone, Debug)]
-pub struct Holding {
+pub struct LeasedKeys {
     keys: Vec<KeyState>,
     last_lease: u64,
     /// Released ranges, first and last key, whose running requests may still finish.
@@ -41,7 +41,7 @@
     lease: u64,
 }
 
-impl Default for Holding {
+impl Default for LeasedKeys {
     fn default() -> Self {
         Self {
             keys: vec![KeyState::default(); KEYS],
@@ -51,13 +51,13 @@
     }
 }
 
-impl Holding {
+impl LeasedKeys {
     /// Grants leases on keys or renews them.
     ///
     /// # Errors
     ///
     /// Returns an error, and changes nothing, if a higher fence was seen on one of the keys.
-    pub fn grant(&mut self, now: Millis, grant: &KeyGrant) -> Result<(), FenceOld> {
+    pub fn grant(&mut self, now: Millis, grant: &KeyGrant) -> Result<(), StaleFence> {
         self.check_fence(grant)?;
         self.last_lease += 1;
         for key in &mut self.keys[key_range(grant)] {
@@ -105,10 +105,10 @@
         state.lease == permit.lease && (now < state.expires_at || is_draining)
     }
 
-    fn check_fence(&self, grant: &KeyGrant) -> Result<(), FenceOld> {
+    fn check_fence(&self, grant: &KeyGrant) -> Result<(), StaleFence> {
         let has_newer_fence = |key: &KeyState| key.highest_fence > grant.fence;
         if self.keys[key_range(grant)].iter().any(has_newer_fence) {
-            return Err(FenceOld);
+            return Err(StaleFence);
         }
         Ok(())
     }
--- a/crates/chicoryrail-testkit/src/target/options.rs
+++ b/crates/chicoryrail-testkit/src/target/options.rs
@@ -28,13 +28,13 @@
     /// Service time of a request that names none, in microseconds.
     pub service_us: u64,
     /// Length of a warm-up.
-    pub cold_ms: Millis,
+    pub warmup: Millis,
     /// Number of requests that may arrive in a second during a warm-up; more are recorded as an overrun.
-    pub cold_bears: u32,
+    pub warmup_limit: u32,
     /// Address of the store in which the server registers; `None` if it does not register.
     pub store: Option<SocketAddr>,
     /// Address that the server registers; `None` for the address that it listens on.
-    pub shown: Option<SocketAddr>,
+    pub advertised_addr: Option<SocketAddr>,
     /// File to which each run and overrun is appended; `None` for no file.
     pub ledger: Option<PathBuf>,
     /// Seed of the random choice of the requests that a fault affects.
@@ -54,10 +54,10 @@
             connections: 120,
             keyed: false,
             service_us: 0,
-            cold_ms: Millis::ZERO,
-            cold_bears: u32::MAX,
+            warmup: Millis::ZERO,
+            warmup_limit: u32::MAX,
             store: None,
-            shown: None,
+            advertised_addr: None,
             ledger: None,
             seed: 1,
         }
--- a/crates/chicoryrail-testkit/src/target/response.rs
+++ b/crates/chicoryrail-testkit/src/target/response.rs
@@ -25,7 +25,7 @@
 
 /// The first line of a response's body, in JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Id of the request.
     pub request: String,
     /// Path of the request.
@@ -36,7 +36,7 @@
     pub length: u64,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Parses the first line of a body and verifies that the filler after it is complete and belongs to this request;
     /// `None` if it is not.
     #[must_use]
@@ -88,7 +88,7 @@
 }
 
 impl Filler {
-    pub(crate) fn new(head: &AnswerHead, chunked: bool, cut_after: Option<u64>) -> Self {
+    pub(crate) fn new(head: &ResponseHead, chunked: bool, cut_after: Option<u64>) -> Self {
         let mut line = serde_json::to_vec(head).unwrap_or_default();
         line.push(b'\n');
         Self {
--- a/crates/chicoryrail-testkit/src/target/server.rs
+++ b/crates/chicoryrail-testkit/src/target/server.rs
@@ -19,7 +19,7 @@
 use http::Response;
 use hyper::body::Incoming;
 
-use crate::Cut;
+use crate::ConnectionCut;
 use crate::Ledger;
 use crate::Listener;
 use crate::TargetFault;
@@ -46,7 +46,7 @@
 ///
 /// A caller's request has the query parameters `work_us` (service time in microseconds), `body` (bytes after the
 /// first line) and `chunked=1`. The response's body starts with a line of JSON that names the request
-/// ([`crate::AnswerHead`]).
+/// ([`crate::ResponseHead`]).
 #[derive(Clone, Debug)]
 pub struct TargetServer {
     state: Rc<State>,
@@ -64,7 +64,9 @@
         stop: CancellationToken,
     ) -> io::Result<Self> {
         let listener = listener.with_max_connections(options.connections);
-        let advertised_addr = options.shown.map_or_else(|| listener.addr(), Ok)?;
+        let advertised_addr = options
+            .advertised_addr
+            .map_or_else(|| listener.addr(), Ok)?;
         let store = options.store.map(KvStore::new);
         let state = Rc::new(State::new(options, listener.refused_connections())?);
         if let Some(store) = store {
@@ -95,7 +97,7 @@
     }
 
     /// Switches a fault on.
-    pub fn fault(&self, fault: TargetFault) {
+    pub fn inject_fault(&self, fault: TargetFault) {
         match fault {
             TargetFault::Cold { for_ms } => self.state.start_warmup(for_ms.map(Millis)),
             TargetFault::Leave => self.state.start_draining(),
@@ -115,12 +117,12 @@
 
     /// Returns `true` if the server's lease on the key is unexpired.
     #[must_use]
-    pub fn holds(&self, key: u16) -> bool {
-        let holding = self.state.holding.borrow();
-        holding.permit_run(self.state.now(), key).is_some()
+    pub fn owns_key(&self, key: u16) -> bool {
+        let leased_keys = self.state.leased_keys.borrow();
+        leased_keys.permit_run(self.state.now(), key).is_some()
     }
 
-    async fn respond(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<Body>, ConnectionCut> {
         let expected = call_header::text(request.headers(), &call_header::EXPECTED_SERVER);
         if expected.is_some_and(|e| e != self.state.options.name.as_str()) {
             return Ok(work::refuse_misdirected(&self.state, request.headers()));
@@ -132,7 +134,7 @@
         work::respond(Rc::clone(&self.state), request).await
     }
 
-    async fn control(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn control(&self, request: Request<Incoming>) -> Result<Response<Body>, ConnectionCut> {
         let path = request.uri().path().to_owned();
         let method = request.method().clone();
         let body = read_body(request).await;
@@ -144,7 +146,7 @@
         Ok(match (method, path.as_str()) {
             (Method::PUT, "/testkit/fault") => match serde_json::from_slice(&body) {
                 Ok(fault) => {
-                    self.fault(fault);
+                    self.inject_fault(fault);
                     json_response(200, &())
                 }
                 Err(e) => error_response(400, &e.to_string()),
@@ -158,16 +160,16 @@
         })
     }
 
-    async fn handle_key_call(&self, call: KeyCall) -> Result<Response<Body>, Cut> {
+    async fn handle_key_call(&self, call: KeyCall) -> Result<Response<Body>, ConnectionCut> {
         let now = self.state.now();
         let dropped_until = self.state.faults.borrow_mut().key_calls_dropped_until(now);
         if let Some(until) = dropped_until {
             monoio::time::sleep(until.since(now).to_duration()).await;
-            return Err(Cut);
+            return Err(ConnectionCut);
         }
         let (result, is_grant) = match call {
             KeyCall::Grant(grant) => {
-                let result = self.state.holding.borrow_mut().grant(now, &grant);
+                let result = self.state.leased_keys.borrow_mut().grant(now, &grant);
                 (result, true)
             }
             KeyCall::Release(grant) => {
@@ -191,11 +193,11 @@
 
     /// Releases keys and waits until the requests that run on them have ended.
     async fn release(&self, grant: &KeyGrant) {
-        self.state.holding.borrow_mut().release(grant);
+        self.state.leased_keys.borrow_mut().release(grant);
         while self.state.has_running(grant.first, grant.last) {
             monoio::time::sleep(POLL_INTERVAL.to_duration()).await;
         }
-        self.state.holding.borrow_mut().finish_release(grant);
+        self.state.leased_keys.borrow_mut().finish_release(grant);
     }
 }
 
--- a/crates/chicoryrail-testkit/src/target/state.rs
+++ b/crates/chicoryrail-testkit/src/target/state.rs
@@ -10,27 +10,27 @@
 use chicoryrail_core::Millis;
 use chicoryrail_runtime::Clock;
 
-use crate::Holding;
+use crate::LeasedKeys;
 use crate::LimitOverrun;
 use crate::Overrun;
 use crate::TargetOptions;
 use crate::target::fault::TargetFaults;
 use crate::target::ledger::Recorder;
 use crate::target::limit_check::LimitCheck;
-use crate::target::response::AnswerHead;
+use crate::target::response::ResponseHead;
 use crate::target::slots::Slots;
 use crate::target::warmup::WarmUp;
-use crate::wall_micros;
+use crate::unix_micros;
 
 /// The state of a target, shared by its tasks on one thread.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) options: TargetOptions,
     pub(crate) slots: Slots,
-    pub(crate) holding: RefCell<Holding>,
+    pub(crate) leased_keys: RefCell<LeasedKeys>,
     pub(crate) recorder: RefCell<Recorder>,
     pub(crate) faults: RefCell<TargetFaults>,
-    pub(crate) last_response: RefCell<Option<AnswerHead>>,
+    pub(crate) last_response: RefCell<Option<ResponseHead>>,
     pub(crate) refused_connections: Rc<Cell<u64>>,
     clock: Clock,
     /// Start of the process in milliseconds since 1970.
@@ -66,14 +66,14 @@
         let recorder = Recorder::open(options.ledger.as_deref())?;
         Ok(Self {
             slots: Slots::new(options.slots, options.queue),
-            holding: RefCell::default(),
+            leased_keys: RefCell::default(),
             recorder: RefCell::new(recorder),
             faults: RefCell::new(TargetFaults::new(options.seed)),
             last_response: RefCell::default(),
             refused_connections,
             clock: Clock::start(),
-            started_unix_ms: wall_micros() / 1000,
-            warmup: RefCell::new(WarmUp::new(Millis::ZERO, options.cold_ms)),
+            started_unix_ms: unix_micros() / 1000,
+            warmup: RefCell::new(WarmUp::new(Millis::ZERO, options.warmup)),
             advertised: Cell::new(Advertised {
                 state: MemberState::Ready,
                 warmups: 0,
@@ -116,7 +116,7 @@
 
     /// Starts a warm-up, as after the loss of all caches. Its default length is that of the options.
     pub(crate) fn start_warmup(&self, length: Option<Millis>) {
-        let length = length.unwrap_or(self.options.cold_ms);
+        let length = length.unwrap_or(self.options.warmup);
         *self.warmup.borrow_mut() = WarmUp::new(self.now(), length);
         let advertised = self.advertised.get();
         self.advertised.set(Advertised {
@@ -185,7 +185,7 @@
         if let Some(excess) = self.limit_check.borrow_mut().record_arrival(now, rate) {
             recorder.record_limit_overrun(LimitOverrun {
                 server: self.options.name.to_string(),
-                time: wall_micros(),
+                time: unix_micros(),
                 limited_ms: excess.age.0,
                 arrived: excess.arrived,
                 allowed: excess.allowed,
@@ -195,14 +195,14 @@
         let mut warmup = self.warmup.borrow_mut();
         let age = warmup.age(now).unwrap_or_default();
         if let Some(arrived) = warmup.record_arrival(now)
-            && arrived > self.options.cold_bears
+            && arrived > self.options.warmup_limit
         {
             recorder.record_overrun(Overrun {
                 server: self.options.name.to_string(),
-                time: wall_micros(),
+                time: unix_micros(),
                 cold_ms: age.0,
                 arrived,
-                bears: self.options.cold_bears,
+                bears: self.options.warmup_limit,
             });
         }
     }
--- a/crates/chicoryrail-testkit/src/target/work.rs
+++ b/crates/chicoryrail-testkit/src/target/work.rs
@@ -16,18 +16,17 @@
 use http::Method;
 use http::Request;
 use http::Response;
-use http::request::Parts;
 use hyper::body::Incoming;
 
-use crate::Cut;
+use crate::ConnectionCut;
 use crate::Permit;
 use crate::Run;
-use crate::query;
-use crate::target::response::AnswerHead;
+use crate::query_param;
 use crate::target::response::Filler;
+use crate::target::response::ResponseHead;
 use crate::target::slots::NoSlot;
 use crate::target::state::State;
-use crate::wall_micros;
+use crate::unix_micros;
 
 /// Largest accepted request body in bytes.
 const BODY_MAX_BYTES: usize = 64 << 20;
@@ -71,11 +70,11 @@
 pub(crate) async fn respond(
     state: Rc<State>,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, ConnectionCut> {
     let (head, body) = request.into_parts();
     let work = Work::parse(&state, &head);
     let Ok(_) = collect_body(body, BODY_MAX_BYTES).await else {
-        return Err(Cut);
+        return Err(ConnectionCut);
     };
     if state.faults.borrow_mut().sample_refusal(state.now()) {
         return Ok(refusal(&state, &work.request, End::Refused));
@@ -99,9 +98,9 @@
         monoio::time::sleep(faults.delay.to_duration()).await;
     }
     if faults.lost {
-        return Err(Cut);
+        return Err(ConnectionCut);
     }
-    let own_head = AnswerHead {
+    let own_head = ResponseHead {
         request: work.request.clone(),
         path: work.path,
         server: state.options.name.to_string(),
@@ -170,7 +169,7 @@
         return End::Expired;
     }
     state.mark_running(id);
-    let start = wall_micros();
+    let start = unix_micros();
     let service_us = state.service_us(work.service_us);
     if service_us > 0 {
         let worked = std::pin::pin!(monoio::time::sleep(Duration::from_micros(service_us)));
@@ -198,17 +197,17 @@
         return Ok(None);
     }
     let key = work.key.ok_or(())?;
-    let holding = state.holding.borrow();
-    holding.permit_run(state.now(), key).map(Some).ok_or(())
+    let leased_keys = state.leased_keys.borrow();
+    leased_keys.permit_run(state.now(), key).map(Some).ok_or(())
 }
 
 /// Records the run as having taken effect, unless the key's lease has ended since the permit.
 fn take_effect(state: &State, work: &Work, permit: Option<Permit>, start: u64) -> End {
     // Read before the check, so that a pause between the two makes the check fail instead of lengthening the run.
-    let end = wall_micros();
+    let end = unix_micros();
     if let (Some(key), Some(permit)) = (work.key, permit)
         && !state
-            .holding
+            .leased_keys
             .borrow()
             .may_take_effect(state.now(), key, permit)
     {
@@ -281,7 +280,7 @@
 }
 
 impl Work {
-    fn parse(state: &State, head: &Parts) -> Self {
+    fn parse(state: &State, head: &http::request::Parts) -> Self {
         let text = |name: &http::HeaderName| call_header::text(&head.headers, name);
         let time_left = text(&call_header::TIME_LEFT).and_then(|v| v.parse().ok());
         let request = text(&call_header::REQUEST_ID).unwrap_or_default();
@@ -293,9 +292,9 @@
             key: text(&call_header::KEY).and_then(|v| v.parse().ok()),
             order: head.method == Method::POST,
             deadline: state.now() + time_left.map_or(DEFAULT_TIME_LEFT, Millis),
-            service_us: query(&head.uri, "work_us").unwrap_or(state.options.service_us),
-            length: query(&head.uri, "body").unwrap_or(0),
-            chunked: query::<u8>(&head.uri, "chunked") == Some(1),
+            service_us: query_param(&head.uri, "work_us").unwrap_or(state.options.service_us),
+            length: query_param(&head.uri, "body").unwrap_or(0),
+            chunked: query_param::<u8>(&head.uri, "chunked") == Some(1),
         }
     }
 }
--- a/crates/chicoryrail-testkit/tests/chaos.rs
+++ b/crates/chicoryrail-testkit/tests/chaos.rs
@@ -28,8 +28,8 @@
 #[case::tanduay(Deployment::Tanduay, 1)]
 fn guarantees_hold_under_faults(#[case] deployment: Deployment, #[case] seed: u64) {
     let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut options = ChaosOptions::new(deployment, seed).with_length(Millis(8_000));
-    options.bin = Some(programs());
+    let mut options = ChaosOptions::new(deployment, seed).with_duration(Millis(8_000));
+    options.program_dir = Some(programs());
     options.rate = 100.0;
     let summary = run_chaos(&options).unwrap();
     let failures = (summary.found, summary.crashed);
--- a/crates/chicoryrail-testkit/tests/load.rs
+++ b/crates/chicoryrail-testkit/tests/load.rs
@@ -34,7 +34,7 @@
 
 fn options(hosts: &[SocketAddr]) -> LoadOptions {
     let host = |callers: &SocketAddr| LoadHost {
-        callers: *callers,
+        addr: *callers,
         readiness: None,
     };
     LoadOptions {
@@ -43,7 +43,7 @@
             LoadService::new("shop.example", "/v1/kits/", LoadKind::Lookup).with_keys(50, 1.0),
             LoadService::new("shop.example", "/v1/placement/", LoadKind::Order),
         ],
-        length: Millis(300),
+        duration: Millis(300),
         callers: 2,
         ..LoadOptions::default()
     }
--- a/crates/chicoryrail-testkit/tests/proxy.rs
+++ b/crates/chicoryrail-testkit/tests/proxy.rs
@@ -12,7 +12,7 @@
 use chicoryrail_testkit::Link;
 use chicoryrail_testkit::LinkFault;
 use chicoryrail_testkit::LinkStats;
-use chicoryrail_testkit::Net;
+use chicoryrail_testkit::ProxyNet;
 
 /// Starts a server that echoes the bytes of each connection, and returns its address.
 fn echo() -> SocketAddr {
@@ -30,9 +30,9 @@
     addr
 }
 
-fn link() -> (Net, Link) {
-    let mut net = Net::start(7);
-    let link = net.link_anywhere("test", echo()).unwrap();
+fn link() -> (ProxyNet, Link) {
+    let mut net = ProxyNet::start(7);
+    let link = net.link_any_port("test", echo()).unwrap();
     (net, link)
 }
 
@@ -85,14 +85,14 @@
     let (_net, link) = link();
     let mut stream = connect(&link);
     assert_eq!(exchange(&mut stream, b"one"), b"one");
-    link.set(LinkFault {
+    link.set_fault(LinkFault {
         cut_down: true,
         ..LinkFault::default()
     });
     stream.write_all(b"two").unwrap();
     wait_up(&link, 6);
     assert_eq!(link.stats().down, 3);
-    link.heal();
+    link.clear_fault();
     let mut response = [0; 3];
     stream.read_exact(&mut response).unwrap();
     assert_eq!(&response, b"two");
@@ -102,7 +102,7 @@
 #[test]
 fn a_request_with_a_lost_response_has_reached_the_upstream_process() {
     let (_net, link) = link();
-    link.set(LinkFault {
+    link.set_fault(LinkFault {
         lose_answers: true,
         ..LinkFault::default()
     });
@@ -120,7 +120,7 @@
 #[test]
 fn a_reset_comes_after_the_given_byte() {
     let (_net, link) = link();
-    link.set(LinkFault {
+    link.set_fault(LinkFault {
         reset_after: Some(14),
         ..LinkFault::default()
     });
@@ -134,12 +134,12 @@
 #[test]
 fn a_closed_port_refuses_connections_until_the_fault_ends() {
     let (_net, link) = link();
-    link.set(LinkFault::closed());
+    link.set_fault(LinkFault::closed());
     let until = Instant::now() + Duration::from_secs(20);
     while TcpStream::connect(link.addr()).is_ok() {
         assert!(Instant::now() < until, "the port stays open");
     }
-    link.heal();
+    link.clear_fault();
     let mut stream = loop {
         assert!(Instant::now() < until, "the port stays closed");
         if let Ok(stream) = TcpStream::connect(link.addr()) {
@@ -152,7 +152,7 @@
 #[test]
 fn delay_and_rate_limit_slow_the_bytes() {
     let (_net, link) = link();
-    link.set(LinkFault {
+    link.set_fault(LinkFault {
         delay_ms: 50,
         drip: Some(500),
         ..LinkFault::default()
@@ -169,7 +169,7 @@
     let (_net, link) = link();
     let mut stream = connect(&link);
     assert_eq!(exchange(&mut stream, b"one"), b"one");
-    link.reset();
+    link.reset_connections();
     let mut response = Vec::new();
     let _ = stream.read_to_end(&mut response);
     assert_eq!(response, b"");
--- a/crates/chicoryrail-testkit/tests/store.rs
+++ b/crates/chicoryrail-testkit/tests/store.rs
@@ -166,7 +166,7 @@
 fn calls_above_the_rate_are_refused_and_counted() {
     block_on(async {
         let options = StoreOptions {
-            writes: Some(2),
+            writes_per_s: Some(2),
             ..StoreOptions::default()
         };
         let addr = start(options).await;
--- a/crates/chicoryrail-testkit/tests/target.rs
+++ b/crates/chicoryrail-testkit/tests/target.rs
@@ -17,9 +17,9 @@
 use chicoryrail_runtime::CancellationToken;
 use chicoryrail_runtime::HttpClient;
 use chicoryrail_runtime::block_on;
-use chicoryrail_testkit::AnswerHead;
 use chicoryrail_testkit::Ledger;
 use chicoryrail_testkit::Listener;
+use chicoryrail_testkit::ResponseHead;
 use chicoryrail_testkit::StoreOptions;
 use chicoryrail_testkit::StoreServer;
 use chicoryrail_testkit::TargetFault;
@@ -77,11 +77,11 @@
         let addr = start(options()).await;
         let response = send(addr, lookup("r1", query)).await;
         assert_eq!(response.headers()[call_header::REQUEST_ID], "r1");
-        let head = AnswerHead::check(response.body()).unwrap();
+        let head = ResponseHead::check(response.body()).unwrap();
         assert_eq!((&*head.path, &*head.request), ("/v1/kits/key-1", "r1"));
         assert_eq!(response.headers()[call_header::LOAD], "0,0,2");
         let short = &response.body()[..response.body().len() - 1];
-        assert_eq!(AnswerHead::check(short), None);
+        assert_eq!(ResponseHead::check(short), None);
     });
 }
 
@@ -202,7 +202,7 @@
 fn a_server_that_is_warming_up_records_an_overrun() {
     block_on(async {
         let addr = start(TargetOptions {
-            cold_bears: 2,
+            warmup_limit: 2,
             ..options()
         })
         .await;
--- a/xtask/src/chaos.rs
+++ b/xtask/src/chaos.rs
@@ -43,10 +43,10 @@
         };
         let mut clean = true;
         for seed in self.seed..self.seed + self.seeds {
-            let mut options =
-                ChaosOptions::new(self.deployment, seed).with_length(Millis(self.seconds * 1_000));
-            options.only.clone_from(&self.only);
-            options.keep = self.keep;
+            let mut options = ChaosOptions::new(self.deployment, seed)
+                .with_duration(Millis(self.seconds * 1_000));
+            options.fault_kinds.clone_from(&self.only);
+            options.keep_evidence = self.keep;
             options.stop = Arc::clone(&stop);
             match run_chaos(&options) {
                 Ok(summary) => clean &= print_json(&summary) && summary.is_clean(),
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -116,7 +116,7 @@
         };
         print_head();
         for (cluster, records) in clusters.iter_mut().zip(records) {
-            cluster.check()?;
+            cluster.ensure_running()?;
             let summary = LoadSummary::of(&records);
             print_summary(cluster.options().deployment, &summary);
             let violations = Violation::find(&cluster.evidence(records.clone())?);
@@ -140,9 +140,9 @@
                 ..s
             };
             let load = Load::new(LoadOptions {
-                hosts: cluster.entries(),
+                hosts: cluster.load_hosts(),
                 services: deployment.load().into_iter().map(mixed).collect(),
-                length: Millis(self.seconds * 1_000),
+                duration: Millis(self.seconds * 1_000),
                 rate: Some(RATE_PER_S),
                 seed: self.seed,
                 ..LoadOptions::default()
--- a/xtask/src/prose.rs
+++ b/xtask/src/prose.rs
@@ -35,7 +35,7 @@
         "one view, each kind of entry a method",
     ),
     (
-        "crates/chicoryrail-testkit/src/chaos/act.rs",
+        "crates/chicoryrail-testkit/src/chaos/inject.rs",
         "one list of faults and how each is done",
     ),
     (
