--- a/crates/chicoryrail-ownership/src/keys/key_action.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_action.rs
@@ -45,10 +45,10 @@
     Granted,
     /// The server has seen a higher fence, so there is another leader.
     StaleFence,
-    /// Another server answered at the address, so the intended incarnation has ended.
-    WrongServer,
-    /// No answer: the outcome is indeterminate, and the grant may still arrive.
-    NoAnswer,
+    /// Another server responded at the address, so the intended incarnation has ended.
+    OtherServer,
+    /// No response: the outcome is indeterminate, and the grant may still arrive.
+    NoResponse,
 }
 
 /// Outcome of a release.
@@ -57,8 +57,8 @@
     /// The server no longer holds the keys and no work is running on them. Carries the handover token, if
     /// any.
     Released(Option<String>),
-    /// Another server answered at the address, so the intended incarnation has ended.
-    WrongServer,
-    /// No answer: the outcome is indeterminate.
-    NoAnswer,
+    /// Another server responded at the address, so the intended incarnation has ended.
+    OtherServer,
+    /// No response: the outcome is indeterminate.
+    NoResponse,
 }
--- a/crates/chicoryrail-ownership/src/keys/key_leases.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_leases.rs
@@ -285,8 +285,8 @@
                 }
             }
             GrantOutcome::StaleFence => self.deposed = true,
-            GrantOutcome::WrongServer => self.server_ended(&life.clone()),
-            GrantOutcome::NoAnswer => {
+            GrantOutcome::OtherServer => self.server_ended(&life.clone()),
+            GrantOutcome::NoResponse => {
                 state.lease_until = state.lease_until.max(now + max_lease);
                 state.retry_at = retry_at;
                 state.unanswered_since.get_or_insert(now);
@@ -328,8 +328,8 @@
                 self.former_leases.retain(|c| !released(c));
                 self.released_keys.push(ReleasedKeys { span, handover });
             }
-            ReleaseOutcome::WrongServer => self.server_ended(&life.clone()),
-            ReleaseOutcome::NoAnswer => {
+            ReleaseOutcome::OtherServer => self.server_ended(&life.clone()),
+            ReleaseOutcome::NoResponse => {
                 // A server that keeps other keys must be renewed at once; one without keys can wait.
                 if state.assigned.is_empty() {
                     state.retry_at = now + self.timing.probe_interval;
--- a/crates/chicoryrail-ownership/src/peers.rs
+++ b/crates/chicoryrail-ownership/src/peers.rs
@@ -204,11 +204,14 @@
         let own = (own_name, own_state, SchedulerHost::Here);
         let own = own_state.schedules.then_some(own);
         let scored = others.chain(own).map(|(host, state, scheduler)| {
-            let near = dc.is_some() && state.dc.as_ref() == dc && is_strong(state.power);
-            ((near, rendezvous_score(host, state.power, name)), scheduler)
+            let preferred = dc.is_some() && state.dc.as_ref() == dc && is_strong(state.power);
+            (
+                (preferred, rendezvous_score(host, state.power, name)),
+                scheduler,
+            )
         });
-        let highest = scored.max_by(|((a_near, a), _), ((b_near, b), _)| {
-            a_near.cmp(b_near).then_with(|| a.total_cmp(b))
+        let highest = scored.max_by(|((a_preferred, a), _), ((b_preferred, b), _)| {
+            a_preferred.cmp(b_preferred).then_with(|| a.total_cmp(b))
         });
         highest.map_or(SchedulerHost::Here, |(_, scheduler)| scheduler)
     }
--- a/crates/chicoryrail-ownership/src/watchers.rs
+++ b/crates/chicoryrail-ownership/src/watchers.rs
@@ -104,9 +104,9 @@
         };
         let usable = candidates.filter(|(_, p)| !failed(p));
         let scored = usable.map(|(host, p)| {
-            let near = p.state.dc.as_ref() == Some(dc);
+            let in_dc = p.state.dc.as_ref() == Some(dc);
             let score = rendezvous_score(host, p.state.power, &(RELAY_HASH_TAG, name));
-            ((p.state.store_reachable, near, score), p.addr)
+            ((p.state.store_reachable, in_dc, score), p.addr)
         });
         let best = scored.max_by(|(a, _), (b, _)| {
             let by_class = (a.0, a.1).cmp(&(b.0, b.1));
--- a/crates/chicoryrail-ownership/tests/key_leases.rs
+++ b/crates/chicoryrail-ownership/tests/key_leases.rs
@@ -196,7 +196,7 @@
             Millis(now),
             &life("a"),
             span(30_000, 65_535),
-            ReleaseOutcome::NoAnswer,
+            ReleaseOutcome::NoResponse,
         );
         assert!(
             grants(&leases.due_actions(Millis(now)), "b").is_empty(),
--- a/crates/chicoryrail-ownership/tests/model_keys/calls.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/calls.rs
@@ -101,7 +101,7 @@
         match call.kind {
             CallKind::Grant { span, fence, .. } => {
                 let end = match (answered, call.refused) {
-                    (false, _) => GrantOutcome::NoAnswer,
+                    (false, _) => GrantOutcome::NoResponse,
                     (true, true) => GrantOutcome::StaleFence,
                     (true, false) => GrantOutcome::Granted,
                 };
@@ -111,7 +111,7 @@
                 let end = if answered {
                     ReleaseOutcome::Released(Some("token".to_owned()))
                 } else {
-                    ReleaseOutcome::NoAnswer
+                    ReleaseOutcome::NoResponse
                 };
                 leases.release_finished(now, &call.life, span, end);
             }
--- a/crates/chicoryrail-router/src/control/gossip.rs
+++ b/crates/chicoryrail-router/src/control/gossip.rs
@@ -1,5 +1,5 @@
 //! Datagrams between core hosts: heartbeats with the leader's key updates, and reports to the leader of requested
-//! keys and service rates.
+//! keys and the slowness of servers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -85,7 +85,7 @@
         match packet {
             Packet::Heartbeat(heartbeat) => self.handle_heartbeat(heartbeat, from),
             Packet::KeyDemand(demands) => self.handle_key_demand(&demands),
-            Packet::Paces(rates) => self.leadership.record_service_rates(rates),
+            Packet::Paces(reports) => self.leadership.record_slowness_reports(reports),
             Packet::SlotReply { ticket, reply } => self.handle_slot_reply(ticket, reply),
             Packet::QuotaReports(reports) => {
                 quota::reply_to_report(&self.router, &self.pools, &reports, from);
@@ -114,7 +114,7 @@
             let heartbeat = Packet::Heartbeat(self.heartbeat(leads));
             let addrs = self.router.peers.borrow().addrs();
             self.router.peer_socket.send_all(&heartbeat, &addrs).await;
-            self.report_service_rates(leads, &addrs).await;
+            self.report_slowness(leads, &addrs).await;
             let change = self.leadership.changed.wait_past(seen);
             let _ = monoio::time::timeout(HEARTBEAT_INTERVAL.to_duration(), change).await;
         }
@@ -233,18 +233,18 @@
         demands
     }
 
-    /// Reports the servers' service rates to the leader. While no leader is known, all hosts receive the report, since
+    /// Reports the slowness of servers to the leader. While no leader is known, all hosts receive the report, since
     /// one of them will lead.
-    async fn report_service_rates(&self, leads: bool, addrs: &[SocketAddr]) {
-        let rates = scheduling::service_rates(&self.router);
+    async fn report_slowness(&self, leads: bool, addrs: &[SocketAddr]) {
+        let reports = scheduling::slowness_reports(&self.router);
         if leads {
-            self.leadership.record_service_rates(rates);
+            self.leadership.record_slowness_reports(reports);
             return;
         }
         let leader = self.router.peers.borrow().leader_addr();
         let to = leader.as_ref().map_or(addrs, std::slice::from_ref);
-        if !rates.is_empty() {
-            let packet = Packet::Paces(rates);
+        if !reports.is_empty() {
+            let packet = Packet::Paces(reports);
             self.router.peer_socket.send_all(&packet, to).await;
         }
     }
--- a/crates/chicoryrail-router/src/control/leader/key_calls.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_calls.rs
@@ -107,9 +107,9 @@
         let (end, name) = match &result {
             Ok(()) => (GrantOutcome::Granted, "held"),
             Err(KeyError::StaleFence) => (GrantOutcome::StaleFence, "fence_old"),
-            Err(KeyError::OtherServer) => (GrantOutcome::WrongServer, "other_server"),
+            Err(KeyError::OtherServer) => (GrantOutcome::OtherServer, "other_server"),
             Err(KeyError::NoResponse { .. } | KeyError::Refused { .. }) => {
-                (GrantOutcome::NoAnswer, "silent")
+                (GrantOutcome::NoResponse, "silent")
             }
         };
         self.count("grant", name, started);
@@ -148,8 +148,8 @@
         let result = control.release(addr, &life.name, &grant, limit).await;
         let (end, name) = match &result {
             Ok(token) => (ReleaseOutcome::Released(token.clone()), "free"),
-            Err(KeyError::OtherServer) => (ReleaseOutcome::WrongServer, "other_server"),
-            Err(_) => (ReleaseOutcome::NoAnswer, "silent"),
+            Err(KeyError::OtherServer) => (ReleaseOutcome::OtherServer, "other_server"),
+            Err(_) => (ReleaseOutcome::NoResponse, "silent"),
         };
         self.count("release", name, started);
         log::info!(server:% = life, service:% = self.service, fence = grant.fence,
--- a/crates/chicoryrail-router/src/control/leader/leader_term.rs
+++ b/crates/chicoryrail-router/src/control/leader/leader_term.rs
@@ -39,8 +39,8 @@
     /// Notified when `key_updates` or the leadership changes.
     pub(crate) changed: ChangeSignal,
     key_loads: RefCell<BTreeMap<ServiceName, KeyLoad>>,
-    /// Service rates of servers, as reported by the hosts that schedule for them.
-    service_rates: RefCell<BTreeMap<Life, ServerPace>>,
+    /// Slowness and rate limits of servers, as reported by the hosts that schedule for them.
+    slowness_reports: RefCell<BTreeMap<Life, ServerPace>>,
 }
 
 impl LeaderTerm {
@@ -53,20 +53,20 @@
         }
     }
 
-    /// Records service rates that a host reported.
-    pub(crate) fn record_service_rates(&self, rates: Vec<ServerPace>) {
-        let mut known = self.service_rates.borrow_mut();
-        known.extend(rates.into_iter().map(|r| (r.server.clone(), r)));
+    /// Records slowness reports that a host sent.
+    pub(crate) fn record_slowness_reports(&self, reports: Vec<ServerPace>) {
+        let mut known = self.slowness_reports.borrow_mut();
+        known.extend(reports.into_iter().map(|r| (r.server.clone(), r)));
     }
 
-    /// Returns the service rate of a server; `None` if none was reported.
-    pub(crate) fn service_rate(&self, life: &Life) -> Option<ServerPace> {
-        self.service_rates.borrow().get(life).cloned()
+    /// Returns the slowness report on a server; `None` if none was reported.
+    pub(crate) fn slowness_report(&self, life: &Life) -> Option<ServerPace> {
+        self.slowness_reports.borrow().get(life).cloned()
     }
 
-    /// Removes the service rates of servers for which `is_known` returns `false`.
-    pub(crate) fn retain_service_rates(&self, is_known: impl Fn(&Life) -> bool) {
-        self.service_rates
+    /// Removes the slowness reports on servers for which `is_known` returns `false`.
+    pub(crate) fn retain_slowness_reports(&self, is_known: impl Fn(&Life) -> bool) {
+        self.slowness_reports
             .borrow_mut()
             .retain(|life, _| is_known(life));
     }
--- a/crates/chicoryrail-router/src/control/leader/plan_keys.rs
+++ b/crates/chicoryrail-router/src/control/leader/plan_keys.rs
@@ -54,7 +54,7 @@
             self.balanced_at.set(now);
             let services = self.router.services();
             let is_known = |life: &Life| services.iter().any(|s| s.target(life).is_some());
-            self.leadership.retain_service_rates(is_known);
+            self.leadership.retain_slowness_reports(is_known);
             log::info!(service:% = self.service, servers = candidates.len(),
                 spans = spans.len(), fence = self.leases.borrow().record().fence; "keys_planned");
             self.leases.borrow_mut().begin_change(spans, rand::random());
@@ -94,16 +94,16 @@
         if warm.is_empty() { select(true) } else { warm }
     }
 
-    /// Returns the capacity of a server, in slots of a server of usual speed, by the service rate that the hosts which
+    /// Returns the capacity of a server, in slots of a server of usual speed, by the slowness that the hosts which
     /// schedule for it report. A slow server with as many requests as the others would have the longest queue, and a
     /// rate-limited one refuses requests beyond its limit.
     fn weight(&self, target: &Target) -> f64 {
         let slots = f64::from(target.slots.get());
-        let Some(rate) = self.leadership.service_rate(&target.life) else {
+        let Some(report) = self.leadership.slowness_report(&target.life) else {
             return slots;
         };
-        let weight = slots / f64::from(rate.speed).clamp(0.5, 2.0);
-        let limited = rate.limited_slots.map_or(weight, f64::from);
+        let weight = slots / f64::from(report.speed).clamp(0.5, 2.0);
+        let limited = report.limited_slots.map_or(weight, f64::from);
         limited.max(LIMITED_WEIGHT_MIN).min(weight)
     }
 }
--- a/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
@@ -62,10 +62,10 @@
     current
 }
 
-/// Returns the service rates of the servers with keys that this host schedules.
-pub(crate) fn service_rates(router: &Router) -> Vec<ServerPace> {
+/// Returns the slowness reports on the servers with keys that this host schedules.
+pub(crate) fn slowness_reports(router: &Router) -> Vec<ServerPace> {
     let schedulers = router.schedulers.by_part.borrow();
-    let mut rates = Vec::new();
+    let mut reports = Vec::new();
     // The leader uses the rates only to plan the assignment of keys.
     let keyed = router.services().into_iter().filter(|s| s.is_keyed());
     for service in keyed {
@@ -76,13 +76,13 @@
         let scheduled = targets
             .values()
             .filter(|t| t.scheduled_here.get() == Some(true));
-        rates.extend(scheduled.map(|t| ServerPace {
+        reports.extend(scheduled.map(|t| ServerPace {
             server: t.life.clone(),
             speed: scheduler.slowness(t.id) as f32,
             limited_slots: scheduler.limited_slots(t.id).map(|s| s as f32),
         }));
     }
-    rates
+    reports
 }
 
 /// Logs the utilisation of each scheduler.
--- a/crates/chicoryrail-router/src/control/scheduling/mod.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/mod.rs
@@ -10,7 +10,7 @@
 mod tokens;
 
 pub(crate) use maintenance::run_schedulers;
-pub(crate) use maintenance::service_rates;
+pub(crate) use maintenance::slowness_reports;
 pub(crate) use overflow::free_slots;
 pub(crate) use requests::handle_packet;
 pub(crate) use requests::redirect_moved_keys;
--- a/crates/chicoryrail-router/tests/callers.rs
+++ b/crates/chicoryrail-router/tests/callers.rs
@@ -57,8 +57,8 @@
 #[case::refused_read(Mode::Refuse, "read", 503, 0)]
 #[case::failed_order(Mode::Fail, "order", 500, 1)]
 #[case::failed_read(Mode::Fail, "read", 500, 2)]
-#[case::lost_order(Mode::LoseAnswer, "order", 502, 1)]
-#[case::lost_read(Mode::LoseAnswer, "read", 502, 2)]
+#[case::lost_order(Mode::LoseResponse, "order", 502, 1)]
+#[case::lost_read(Mode::LoseResponse, "read", 502, 2)]
 #[case::crossed_order(Mode::WrongRequestId, "order", 502, 1)]
 #[case::crossed_read(Mode::WrongRequestId, "read", 502, 2)]
 #[case::unmarked_order(Mode::NoStamp, "order", 502, 1)]
@@ -106,7 +106,7 @@
         let failing = world.server("i-1", "desk").await;
         let healthy = world.server("i-2", "desk").await;
         let router = world.router("a").await;
-        failing.set_mode(Mode::LoseAnswer);
+        failing.set_mode(Mode::LoseResponse);
         for _ in 0..10 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
--- a/crates/chicoryrail-router/tests/operator.rs
+++ b/crates/chicoryrail-router/tests/operator.rs
@@ -201,7 +201,7 @@
         .await;
         assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         let before: usize = servers.iter().map(|s| s.executed()).sum();
-        servers.iter().for_each(|s| s.set_mode(Mode::LoseAnswer));
+        servers.iter().for_each(|s| s.set_mode(Mode::LoseResponse));
         assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 502);
         let after: usize = servers.iter().map(|s| s.executed()).sum();
         assert_eq!(after - before, 1);
--- a/crates/chicoryrail-router/tests/partitioned.rs
+++ b/crates/chicoryrail-router/tests/partitioned.rs
@@ -52,8 +52,8 @@
         }
         assert_eq!((runs(&west), runs(&east)), (4, 0));
         let callers: Vec<_> = (0..SERVERS_PER_DC + 4).map(|_| router.caller()).collect();
-        let answers = join_all(callers.iter().map(|c| c.get("/read/1"))).await;
-        assert!(answers.into_iter().all(|a| a.unwrap().status() == 200));
+        let responses = join_all(callers.iter().map(|c| c.get("/read/1"))).await;
+        assert!(responses.into_iter().all(|r| r.unwrap().status() == 200));
         assert_eq!((runs(&west), runs(&east)), (4 + SERVERS_PER_DC, 4));
     });
 }
--- a/crates/chicoryrail-router/tests/pipelined.rs
+++ b/crates/chicoryrail-router/tests/pipelined.rs
@@ -135,7 +135,7 @@
         world.configure().await;
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        server.set_mode(Mode::LoseAnswer);
+        server.set_mode(Mode::LoseResponse);
         let line = "GET /read/1";
         let sent = [("p-1", line), ("p-2", line), ("p-3", "GET /none/1")];
         let responses = Caller::send(router.callers, &sent).await.responses(3).await;
--- a/crates/chicoryrail-router/tests/support/server.rs
+++ b/crates/chicoryrail-router/tests/support/server.rs
@@ -28,13 +28,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// Runs the request and responds.
-    Answer,
+    Respond,
     /// Refuses the request without running it.
     Refuse,
     /// Runs the request and responds that it failed.
     Fail,
     /// Runs the request and closes the connection without a response.
-    LoseAnswer,
+    LoseResponse,
     /// Runs the request and responds with the id of another request.
     WrongRequestId,
     /// Runs the request and responds without the stamp that identifies the server.
@@ -74,10 +74,10 @@
     pub fn set_mode(&self, mode: Mode) {
         let (for_ms, share) = (FAULT_MS, 1.0);
         self.target.inject_fault(match mode {
-            Mode::Answer => return,
+            Mode::Respond => return,
             Mode::Refuse => TargetFault::Refuse { for_ms, share },
             Mode::Fail => TargetFault::Fail { for_ms, share },
-            Mode::LoseAnswer => TargetFault::LoseAnswers { for_ms, share },
+            Mode::LoseResponse => TargetFault::LoseAnswers { for_ms, share },
             Mode::WrongRequestId => TargetFault::Crossed { for_ms, share },
             Mode::NoStamp => TargetFault::Unmarked { for_ms },
         });
--- a/crates/chicoryrail-testkit/src/chaos/inject.rs
+++ b/crates/chicoryrail-testkit/src/chaos/inject.rs
@@ -84,7 +84,7 @@
         Fault::RacingOperators => race_operators(context),
         Fault::DataCentreOut { centre, for_ms } => {
             let name = format!("data centre {centre}");
-            context.exclusively(&name, || take_out_dc(context, centre, for_ms))
+            context.exclusively(&name, || drain_dc(context, centre, for_ms))
         }
         Fault::TargetLeaves { target } => {
             let name = format!("target {target}");
@@ -246,7 +246,7 @@
     }
 }
 
-fn take_out_dc(context: &RunContext, centre: usize, for_ms: u64) -> Result<(), String> {
+fn drain_dc(context: &RunContext, centre: usize, for_ms: u64) -> Result<(), String> {
     let (name, servers) = {
         let cluster = context.cluster();
         let name = cluster.options().deployment.data_centres()[centre];
@@ -255,11 +255,11 @@
         (DcName::new(name), servers)
     };
     let operator = &context.operator;
-    let taken_out = operator.drain(&name);
+    let drained = operator.drain(&name);
     let from = unix_micros() + DRAIN_BOUND_US;
     context.sleep(for_ms);
     let until = unix_micros();
-    if taken_out.is_ok() {
+    if drained.is_ok() {
         context.events().outs.push(OutPeriod {
             servers,
             from,
@@ -274,7 +274,7 @@
         }
         context.sleep(300);
     }
-    taken_out.and(restored).map_err(|e| e.to_string())
+    drained.and(restored).map_err(|e| e.to_string())
 }
 
 /// Drains a target: it announces that it leaves, keeps serving for a while, is killed and starts again.
