--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -17,7 +17,7 @@
 use chicoryrail_platform::KeyGrant;
 use chicoryrail_platform::OWN_PREFIX;
 use chicoryrail_platform::StoreError;
-use chicoryrail_runtime::Signal;
+use chicoryrail_runtime::ChangeSignal;
 use monoio::time::timeout;
 
 use crate::control::config_feed::follow::store_call;
@@ -51,7 +51,7 @@
     pub(super) balanced_at: Cell<Millis>,
     pub(super) committing: Cell<bool>,
     /// Notified when a call to the store or a server has ended.
-    pub(super) call_ended: Signal,
+    pub(super) call_ended: ChangeSignal,
 }
 
 /// Starts a [`KeyLeader`] for each keyed service, until the term ends.
@@ -131,7 +131,7 @@
         stored_fence: Cell::new(stored_fence),
         balanced_at: Cell::new(now),
         committing: Cell::new(false),
-        call_ended: Signal::default(),
+        call_ended: ChangeSignal::default(),
     })
 }
 
@@ -139,7 +139,7 @@
     async fn run(self: Rc<Self>) {
         let mut announced = None;
         while self.leadership.term.get() == self.term {
-            let ended = self.call_ended.count();
+            let ended = self.call_ended.version();
             let outage = self.router.store_down_everywhere(self.router.now());
             self.leases.borrow_mut().set_store_down(outage);
             self.update_servers();
@@ -162,7 +162,11 @@
             }
             // The end of a call wakes this loop at once: after a loss of power on all hosts, each range waits for the
             // call for the range before it, and a pause after each call would add up.
-            let _ = timeout(BUSY_CHECK_INTERVAL.duration(), self.call_ended.after(ended)).await;
+            let _ = timeout(
+                BUSY_CHECK_INTERVAL.to_duration(),
+                self.call_ended.wait_past(ended),
+            )
+            .await;
         }
     }
 
@@ -201,7 +205,7 @@
         for entry in view.servers().filter(|e| e.member.service == self.service) {
             let life = &entry.member.life;
             leases.set_server_addr(now, life, entry.member.addr);
-            for old in owners.iter().filter(|old| life.succeeds(old)) {
+            for old in owners.iter().filter(|old| life.supersedes(old)) {
                 leases.server_ended(old);
             }
         }
@@ -277,7 +281,7 @@
         first: span.first,
         last: span.last,
         fence,
-        hold: duration,
+        lease: duration,
         handover,
     }
 }
--- a/crates/chicoryrail-router/src/route/caller.rs
+++ b/crates/chicoryrail-router/src/route/caller.rs
@@ -2,12 +2,12 @@
 
 use std::rc::Rc;
 
+use chicoryrail_core::Idempotency;
 use chicoryrail_core::Millis;
-use chicoryrail_core::Repeat;
 use chicoryrail_core::RouteKind;
 use chicoryrail_platform::call_header;
 use chicoryrail_runtime::Body;
-use chicoryrail_runtime::BodyFault;
+use chicoryrail_runtime::BodyError;
 use chicoryrail_runtime::Invariant;
 use chicoryrail_runtime::RequestBody;
 use http::HeaderValue;
@@ -58,12 +58,12 @@
 /// refused caller would retry.
 async fn await_config(router: &Router) {
     while router.site().is_none() {
-        let seen = router.feed_changed.count();
+        let seen = router.feed_changed.version();
         let time_left = FIRST_CONFIG_WAIT_MAX.since(router.now());
         if time_left == Millis::ZERO {
             return;
         }
-        let _ = timeout(time_left.duration(), router.feed_changed.after(seen)).await;
+        let _ = timeout(time_left.to_duration(), router.feed_changed.wait_past(seen)).await;
     }
 }
 
@@ -77,15 +77,15 @@
 }
 
 async fn run(router: &Rc<Router>, call: Call, body: Body) -> Response<Body> {
-    let limit = router.site().map_or(u64::MAX, |s| s.limits.body);
+    let limit = router.site().map_or(u64::MAX, |s| s.limits.max_body);
     let body = RequestBody::new(body, limit);
     let call = Rc::new(call);
     let mut guard = AbandonGuard::new(router, &call);
-    let result = match call.route.kind.repeat() {
-        Repeat::Any => forward(router, &call, &body).await,
+    let result = match call.route.kind.idempotency() {
+        Idempotency::Idempotent => forward(router, &call, &body).await,
         // A request that must not run twice is not cancelled when its caller disconnects, so that its server
         // completes what it has begun. The spawned task continues when this future is dropped.
-        Repeat::Once => {
+        Idempotency::AtMostOnce => {
             let (router, call) = (Rc::clone(router), Rc::clone(&call));
             let task = monoio::spawn(async move { forward(&router, &call, &body).await });
             task.await
@@ -134,10 +134,10 @@
     let time_left = call.time_left(router.now());
     body.prefetch(time_left)
         .await
-        .map_err(|fault| match fault {
-            BodyFault::TooLarge => Cause::TooLarge,
-            BodyFault::Slow => Cause::SlowBody,
-            BodyFault::Cut => Cause::BadBody,
+        .map_err(|error| match error {
+            BodyError::TooLarge => Cause::TooLarge,
+            BodyError::Slow => Cause::SlowBody,
+            BodyError::Cut => Cause::BadBody,
         })?;
     attempts::run(router, call, body).await
 }
@@ -149,7 +149,7 @@
     let service = call.service_name().as_str();
     let (outcome, response) = match result {
         Ok(response) => {
-            let outcome = outcome(&response, took, call.route.aim);
+            let outcome = outcome(&response, took, call.route.latency_target);
             if is_sampled(router, call) || outcome != "in_time" {
                 log_end(call, outcome, took, Some(response.status()), None);
             }
@@ -233,7 +233,7 @@
     let key = call.key.map_or_else(|| "-".to_owned(), |k| k.to_string());
     log::info!(request = call.id, route = call.route.name, service:% = call.service_name(),
         status = status.map_or(0, |s| s.as_u16()), cause = cause, retry_after_ms = retry_after,
-        took_ms = took.0, waited_ms = stats.waited.0, aim_ms = call.route.aim.0,
+        took_ms = took.0, waited_ms = stats.waited.0, aim_ms = call.route.latency_target.0,
         time_ms = time_limit.0, server = server, sends = stats.sends,
         chosen_by = chosen_by, key = key, config = call.config_version; "request_{outcome}");
 }
--- a/crates/chicoryrail-router/src/route/slot_query.rs
+++ b/crates/chicoryrail-router/src/route/slot_query.rs
@@ -56,7 +56,7 @@
 ) -> Decision {
     let part = initial_part(router, service);
     let scheduler = scheduler_for(router, service, &part, call);
-    let (ticket, pending_reply) = router.pending_queries.open(router.process.instance);
+    let (ticket, pending_reply) = router.pending_queries.open(router.process.instance_id);
     let mut query = PendingQuery {
         router,
         part,
@@ -70,7 +70,7 @@
     query.send(call, tried);
     let mut resent = false;
     loop {
-        let seen = pending_reply.changed.count();
+        let seen = pending_reply.changed.version();
         match pending_reply.take() {
             Some(SlotReply::Send(life)) => {
                 query.pending = false;
@@ -139,8 +139,8 @@
             resend_after
         };
         let wait = next_step.since(silence).min(call.time_left(now)) + Millis(1);
-        let changed = pin!(pending_reply.changed.after(seen));
-        let _ = timeout(wait.duration(), changed).await;
+        let changed = pin!(pending_reply.changed.wait_past(seen));
+        let _ = timeout(wait.to_duration(), changed).await;
     }
 }
 
@@ -162,7 +162,7 @@
         let now = self.router.now();
         let work = self
             .router
-            .expected_work_us(&call.route.name, call.route.aim);
+            .expected_work_us(&call.route.name, call.route.latency_target);
         let slot_query = SlotQuery {
             dc: self.router.boot().dc.clone(),
             part: self.part.clone(),
@@ -172,7 +172,7 @@
             key: call.key,
             rank: call.priority(),
             organisation: call.needed_quota().map(|(name, _)| name.clone()),
-            aim: (call.arrived + call.route.aim).since(now).0,
+            aim: (call.arrived + call.route.latency_target).since(now).0,
             left: call.time_left(now).0,
             work_us: work as u64,
             large: call.route.kind == RouteKind::Download,
--- a/crates/chicoryrail-router/tests/callers.rs
+++ b/crates/chicoryrail-router/tests/callers.rs
@@ -6,7 +6,7 @@
 use chicoryrail_platform::call_header;
 use chicoryrail_runtime::Clock;
 use chicoryrail_runtime::block_on;
-use chicoryrail_testkit::AnswerHead;
+use chicoryrail_testkit::ResponseHead;
 use chicoryrail_testkit::TargetFault;
 use chicoryrail_testkit::TargetOptions;
 use rstest::rstest;
@@ -25,8 +25,8 @@
         let caller = router.caller();
         let response = caller.get("/read/1").await.unwrap();
         assert_eq!(response.status(), 200);
-        assert_eq!(response.headers()[call_header::STAMP], "stamp");
-        assert_eq!(AnswerHead::check(response.body()).unwrap().server, "i-1");
+        assert_eq!(response.headers()[call_header::UPSTREAM_STAMP], "stamp");
+        assert_eq!(ResponseHead::check(response.body()).unwrap().server, "i-1");
         assert_eq!(caller.post("/order/1").await.unwrap().status(), 200);
         assert_eq!(caller.get("/none/1").await.unwrap().status(), 404);
         assert_eq!(server.executed_ids(), ["a-1-1", "a-1-2"]);
@@ -57,8 +57,8 @@
 #[case::refused_read(Mode::Refuse, "read", 503, 0)]
 #[case::failed_order(Mode::Fail, "order", 500, 1)]
 #[case::failed_read(Mode::Fail, "read", 500, 2)]
-#[case::lost_order(Mode::LoseAnswer, "order", 502, 1)]
-#[case::lost_read(Mode::LoseAnswer, "read", 502, 2)]
+#[case::lost_order(Mode::LoseResponse, "order", 502, 1)]
+#[case::lost_read(Mode::LoseResponse, "read", 502, 2)]
 #[case::crossed_order(Mode::WrongRequestId, "order", 502, 1)]
 #[case::crossed_read(Mode::WrongRequestId, "read", 502, 2)]
 #[case::unmarked_order(Mode::NoStamp, "order", 502, 1)]
@@ -91,7 +91,7 @@
         assert_eq!(response.status(), status);
         let ran: usize = servers.iter().map(|s| s.executed()).sum();
         assert_eq!(ran - before, runs);
-        let marked = response.headers().contains_key(call_header::STAMP);
+        let marked = response.headers().contains_key(call_header::UPSTREAM_STAMP);
         assert_eq!(marked, mode == Mode::Fail);
     });
 }
@@ -106,7 +106,7 @@
         let failing = world.server("i-1", "desk").await;
         let healthy = world.server("i-2", "desk").await;
         let router = world.router("a").await;
-        failing.set_mode(Mode::LoseAnswer);
+        failing.set_mode(Mode::LoseResponse);
         for _ in 0..10 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
@@ -126,7 +126,7 @@
         let server = world
             .server_with(TargetOptions {
                 service: "desk".into(),
-                cold_bears: 8,
+                warmup_limit: 8,
                 ..TargetOptions::new("i-1")
             })
             .await;
@@ -142,7 +142,7 @@
         server.fault(TargetFault::Cold {
             for_ms: Some(3_000),
         });
-        monoio::time::sleep(Millis(500).duration()).await;
+        monoio::time::sleep(Millis(500).to_duration()).await;
         let clock = Clock::start();
         let (mut answered, mut refused) = (0, 0);
         while clock.now() < Millis(1_900) {
--- a/crates/chicoryrail-router/tests/support/server.rs
+++ b/crates/chicoryrail-router/tests/support/server.rs
@@ -28,13 +28,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// Runs the request and responds.
-    Answer,
+    Respond,
     /// Refuses the request without running it.
     Refuse,
     /// Runs the request and responds that it failed.
     Fail,
     /// Runs the request and closes the connection without a response.
-    LoseAnswer,
+    LoseResponse,
     /// Runs the request and responds with the id of another request.
     WrongRequestId,
     /// Runs the request and responds without the stamp that identifies the server.
@@ -67,17 +67,17 @@
     }
 
     pub fn fault(&self, fault: TargetFault) {
-        self.target.fault(fault);
+        self.target.inject_fault(fault);
     }
 
     /// Handles all further requests in this mode.
     pub fn set_mode(&self, mode: Mode) {
         let (for_ms, share) = (FAULT_MS, 1.0);
-        self.target.fault(match mode {
-            Mode::Answer => return,
+        self.target.inject_fault(match mode {
+            Mode::Respond => return,
             Mode::Refuse => TargetFault::Refuse { for_ms, share },
             Mode::Fail => TargetFault::Fail { for_ms, share },
-            Mode::LoseAnswer => TargetFault::LoseAnswers { for_ms, share },
+            Mode::LoseResponse => TargetFault::LoseAnswers { for_ms, share },
             Mode::WrongRequestId => TargetFault::Crossed { for_ms, share },
             Mode::NoStamp => TargetFault::Unmarked { for_ms },
         });
@@ -85,7 +85,7 @@
 
     /// Sets the service time of all further requests.
     pub fn set_work(&self, work: Millis) {
-        self.target.fault(TargetFault::Slow {
+        self.target.inject_fault(TargetFault::Slow {
             for_ms: FAULT_MS,
             factor: work.0 as f64 / SERVICE_TIME.0 as f64,
         });
@@ -93,7 +93,8 @@
 
     /// Ignores all further calls that grant or release keys.
     pub fn ignore_key_calls(&self) {
-        self.target.fault(TargetFault::Deaf { for_ms: FAULT_MS });
+        self.target
+            .inject_fault(TargetFault::Deaf { for_ms: FAULT_MS });
     }
 
     /// Sends a request to the server directly, without the router.
@@ -108,7 +109,7 @@
 
     /// Returns whether the server currently holds the lease of a key.
     pub fn owns(&self, key: u16) -> bool {
-        self.target.holds(key)
+        self.target.owns_key(key)
     }
 
     pub fn ledger(&self) -> Ledger {
