--- a/crates/chicoryrail-ownership/src/core_host.rs
+++ b/crates/chicoryrail-ownership/src/core_host.rs
@@ -1,4 +1,5 @@
-//! Store entries of core hosts, and the rule by which a host becomes one.
+//! Core hosts, which exchange heartbeats, schedule requests and may lead: their entries in the store, and the
+//! rule by which a host joins them.
 
 use std::net::SocketAddr;
 
@@ -6,11 +7,12 @@
 /// contribute.
 const CORE_HOSTS_MAX: usize = 24;
 
-/// Total power of the core hosts, in thousandths of a core, from which weak hosts stay leaf hosts.
-/// Scheduling takes about 0.2 ms of a core for each request in total.
+/// Total power of the core hosts, in thousandths of a CPU, at which no more weak hosts join them; the others stay
+/// leaf hosts, which follow a core host. Scheduling a request costs about 0.2 ms of CPU time in total, so this
+/// power schedules about 7,500 requests per second.
 const CORE_POWER_TARGET: u32 = 1_500;
 
-/// Minimum power of a strong host, in thousandths of a core.
+/// Minimum power of a strong host, in thousandths of a CPU. A host with less is weak.
 const STRONG_POWER_MIN: u32 = 100;
 
 /// Core host as listed in the store.
@@ -18,7 +20,7 @@
 pub struct CoreHost {
     /// Address for messages from other hosts.
     pub addr: SocketAddr,
-    /// CPU capacity for leading and scheduling, in thousandths of a core.
+    /// CPU capacity for leading and scheduling, in thousandths of a CPU.
     pub power: u32,
 }
 
@@ -29,8 +31,8 @@
         format!("{} {}", self.addr, self.power)
     }
 
-    /// Parses a value from the store; `None` if it has no valid address. A value without a power counts as
-    /// weak.
+    /// Parses a value from the store; `None` if it has no valid address. A missing or invalid power counts as 0;
+    /// values written by older versions have none.
     #[must_use]
     pub fn from_value(value: &[u8]) -> Option<Self> {
         let text = std::str::from_utf8(value).ok()?;
@@ -44,20 +46,20 @@
     }
 }
 
-/// Returns `true` if a host has enough power to be a core host regardless of the others. `power` is in
-/// thousandths of a core.
+/// Returns `true` if a host with `power`, in thousandths of a CPU, is strong: it should be a core host however
+/// much power the others have, unless there are `CORE_HOSTS_MAX` core hosts already.
 #[must_use]
 pub const fn is_strong(power: u32) -> bool {
     power >= STRONG_POWER_MIN
 }
 
-/// Returns `true` if a host with `power`, in thousandths of a core, should become a core host in addition
-/// to `listed`.
+/// Returns `true` if a host with `power`, in thousandths of a CPU, should become a core host in addition to
+/// `listed`.
 ///
 /// Installations have hundreds of hosts, most of them small and on slow links. If all of them exchanged
-/// heartbeats, watched the store and scheduled, each would spend most of its capacity on the others. So a
-/// few strong hosts do this for all, and weak ones join only if the strong ones have too little power in
-/// total.
+/// heartbeats, watched the store and scheduled, each would spend most of its capacity on coordination with the
+/// others. So a few strong hosts schedule and watch the store on behalf of the others, and weak ones join only if
+/// the strong ones have too little power in total.
 #[must_use]
 pub fn should_join_core(power: u32, listed: impl Iterator<Item = CoreHost>) -> bool {
     let (count, sum) = listed.fold((0, 0), |(n, sum), host| (n + 1, sum + host.power));
--- a/crates/chicoryrail-ownership/src/keys/assignment.rs
+++ b/crates/chicoryrail-ownership/src/keys/assignment.rs
@@ -15,26 +15,27 @@
 /// requests would overload it again.
 const RELIEF_TARGET_RATIO: f64 = 1.05;
 
-/// Smallest move worth making, as a fraction of a fair share. Each move delays the requests for its keys until
-/// the work already running on them ends.
+/// Minimum load of a move, as a fraction of a fair share. Each move delays the requests for its keys until the
+/// work already running on them ends.
 const MOVE_SHARE_MIN: f64 = 0.06;
 
-/// Lower bound of the limit on moves in one plan, and the limit for each candidate; the larger one applies.
-/// The limit grows with the number of servers because a range with two fifths of the load has to be spread
-/// over two fifths of the servers.
+/// Minimum of the limit on relief moves in one plan, for few candidates.
 const MOVES_MIN: usize = 24;
+
+/// Limit on relief moves in one plan, for each candidate. The limit grows with the number of servers because a
+/// range with two fifths of the load has to be spread over two fifths of the servers.
 const MOVES_PER_SERVER: f64 = 0.5;
 
 /// Lowest load of a key, relative to the mean key, at which it is moved for relief. Less busy keys make up
 /// most of the key space and bring little relief.
 const MOVE_DENSITY_MIN: f64 = 0.25;
 
-/// Number of pieces that a fair share of load is divided into: the keys of a lost server with a fair share
-/// go to about this many servers at most, and a new server takes its keys in at most this many pieces.
-const SUCCESSORS_PER_SERVER: f64 = 4.0;
+/// Number of pieces that a fair share of load is divided into: the keys of a lost server with a fair share go to
+/// about this many servers at most, and a new server gets its keys in at most this many pieces.
+const PIECES_PER_FAIR_SHARE: f64 = 4.0;
 
-/// Average number of ranges for each server above which lightly loaded ranges are merged into a neighbour's. Each
-/// range costs a renewal every 600 ms.
+/// Average number of ranges for each server above which lightly loaded ranges are merged into neighbouring ones.
+/// Each range costs a renewal every 600 ms.
 const RANGES_PER_SERVER_TARGET: f64 = 1.6;
 
 /// Average number of ranges for each server at which relief moves stop until some ranges are merged. The
@@ -42,9 +43,10 @@
 const RANGES_PER_SERVER_MAX: usize = 4;
 
 /// Load, as a fraction of a fair share, up to which a range counts as lightly loaded.
-const COLD_RANGE_SHARE: f64 = 0.08;
+const LIGHT_RANGE_SHARE: f64 = 0.08;
 
-/// Lower bound of the limit on merges in one plan: as many as the ranges that the plan's moves may add.
+/// Minimum of the limit on merges in one plan; with more candidates than this, their number is the limit. It is
+/// twice the limit on relief moves, since each move may add two ranges.
 const MERGES_MIN: usize = 48;
 
 /// Working copy of a key assignment: the ranges, their owners and the resulting loads.
@@ -70,7 +72,7 @@
         curve: &'a LoadCurve,
         unit_load: f64,
     ) -> Self {
-        let indices: BTreeMap<&Life, usize> = candidates.iter().map(|h| &h.life).zip(0..).collect();
+        let indices: BTreeMap<&Life, usize> = candidates.iter().map(|c| &c.life).zip(0..).collect();
         let mut ranges = Vec::with_capacity(spans.len());
         let mut next = 0_u32;
         for owned in spans {
@@ -116,39 +118,40 @@
     /// A key too busy for one server is capped by the load curve, so it adds the same amount wherever it is
     /// assigned and does not hide imbalance elsewhere.
     pub(crate) fn overload(&self, margin: f64, deviations: f64) -> f64 {
-        let over = (0..self.candidates.len()).map(|h| {
-            let fair = self.fair(h);
-            (self.loads[h] - fair * margin - fair.sqrt() * deviations).max(0.0)
+        let over = (0..self.candidates.len()).map(|c| {
+            let fair = self.fair_load(c);
+            (self.loads[c] - fair * margin - fair.sqrt() * deviations).max(0.0)
         });
         over.sum::<f64>() / self.curve.total()
     }
 
     /// Returns each candidate's load and fair share.
     pub(crate) fn loads(&self) -> impl Iterator<Item = (f64, f64)> {
-        (0..self.candidates.len()).map(|h| (self.loads[h], self.fair(h)))
+        (0..self.candidates.len()).map(|c| (self.loads[c], self.fair_load(c)))
     }
 
     /// Returns the owned ranges with their owners.
-    pub(crate) fn into_spans(self) -> Vec<OwnedRange> {
+    pub(crate) fn into_owned_ranges(self) -> Vec<OwnedRange> {
         let candidates = self.candidates;
         let ranges = self.ranges.into_iter();
         let owned =
-            ranges.filter_map(|(span, h)| Some(OwnedRange::new(span, candidates[h?].life.clone())));
+            ranges.filter_map(|(span, c)| Some(OwnedRange::new(span, candidates[c?].life.clone())));
         owned.collect()
     }
 
-    fn fair(&self, candidate: usize) -> f64 {
+    /// Returns a candidate's fair share of the load, in requests.
+    fn fair_load(&self, candidate: usize) -> f64 {
         self.candidates[candidate].weight * self.unit_load
     }
 
     /// Returns a candidate's load as a multiple of its fair share.
-    fn share(&self, candidate: usize) -> f64 {
-        self.loads[candidate] / self.fair(candidate).max(f64::MIN_POSITIVE)
+    fn relative_load(&self, candidate: usize) -> f64 {
+        self.loads[candidate] / self.fair_load(candidate).max(f64::MIN_POSITIVE)
     }
 
     /// Returns the load that a candidate can still receive; negative if it has too much.
     fn spare_load(&self, candidate: usize) -> f64 {
-        self.fair(candidate) * RELIEF_TARGET_RATIO - self.loads[candidate]
+        self.fair_load(candidate) * RELIEF_TARGET_RATIO - self.loads[candidate]
     }
 
     /// Returns the candidate with the most spare load.
@@ -158,10 +161,11 @@
 
     /// Returns the candidate with the highest load relative to its fair share.
     fn busiest(&self) -> usize {
-        self.highest(|candidate| self.share(candidate))
+        self.highest(|candidate| self.relative_load(candidate))
     }
 
-    /// Returns the candidate with the highest `value`. An assignment has at least one candidate.
+    /// Returns the candidate with the highest `value`. The fallback is never used, since an assignment has at
+    /// least one candidate.
     fn highest(&self, value: impl Fn(usize) -> f64) -> usize {
         let all = 0..self.candidates.len();
         let highest = all.max_by(|a, b| value(*a).total_cmp(&value(*b)));
@@ -172,7 +176,7 @@
     pub(crate) fn assign_unowned(&mut self) {
         let mean = self.curve.total() / self.candidates.len() as f64;
         while let Some((span, _)) = self.ranges.iter().find(|(_, owner)| owner.is_none()) {
-            let min_load = (mean / SUCCESSORS_PER_SERVER).min(self.curve.load(*span));
+            let min_load = (mean / PIECES_PER_FAIR_SHARE).min(self.curve.load(*span));
             let to = self.most_spare();
             let piece = self
                 .curve
@@ -181,9 +185,8 @@
         }
     }
 
-    /// Assigns keys of the busiest candidates to each candidate that has none. Without known load, such a
-    /// candidate gets half of the range with the most load for its owner's share, which is then the longest
-    /// one if weights are equal.
+    /// Assigns keys of the busiest candidates to each candidate that has none. If no load is known, or no load
+    /// could be moved, such a candidate gets a part of one range; see `split_busiest_for`.
     pub(crate) fn admit_new(&mut self, load_known: bool) {
         for new in 0..self.candidates.len() {
             if self.ranges.iter().any(|(_, owner)| *owner == Some(new)) {
@@ -198,13 +201,13 @@
         }
     }
 
-    /// Moves load from the busiest candidates to a new one until its relative load is about as high as
-    /// theirs.
+    /// Moves load from the busiest candidates to a new one, in a few pieces, until its relative load is about as
+    /// high as theirs.
     fn fill_new(&mut self, new: usize) {
-        for _ in 0..SUCCESSORS_PER_SERVER as usize {
+        for _ in 0..PIECES_PER_FAIR_SHARE as usize {
             let from = self.busiest();
-            let gap = self.loads[from] - self.fair(from) * self.share(new);
-            let amount = (gap / 2.0).min(self.fair(new) / SUCCESSORS_PER_SERVER);
+            let gap = self.loads[from] - self.fair_load(from) * self.relative_load(new);
+            let amount = (gap / 2.0).min(self.fair_load(new) / PIECES_PER_FAIR_SHARE);
             let Some(piece) = self.select_piece(from, amount, 0.0) else {
                 return;
             };
@@ -212,9 +215,11 @@
         }
     }
 
+    /// Assigns to a new candidate half of the load of one range: of the range with the highest load relative to
+    /// its owner's fair share. Without known load, that is the longest range if weights are equal.
     fn split_busiest_for(&mut self, new: usize) {
         let splittable = self.ranges.iter().filter(|(span, _)| span.len() > 1);
-        let relative_load = |span: KeyRange, h: usize| self.curve.load(span) / self.fair(h);
+        let relative_load = |span: KeyRange, c: usize| self.curve.load(span) / self.fair_load(c);
         let owned = splittable.filter_map(|(span, owner)| Some((*span, (*owner)?)));
         let busiest =
             owned.max_by(|a, b| relative_load(a.0, a.1).total_cmp(&relative_load(b.0, b.1)));
@@ -236,9 +241,9 @@
                 return;
             }
             let (from, to) = (self.busiest(), self.most_spare());
-            let excess = self.loads[from] - self.fair(from) * RELIEF_TARGET_RATIO;
+            let excess = self.loads[from] - self.fair_load(from) * RELIEF_TARGET_RATIO;
             let amount = excess.min(self.spare_load(to));
-            let min_amount = MOVE_SHARE_MIN * self.fair(from).min(self.fair(to));
+            let min_amount = MOVE_SHARE_MIN * self.fair_load(from).min(self.fair_load(to));
             if from == to || amount < min_amount {
                 return;
             }
@@ -248,8 +253,8 @@
             };
             // A single busy key may exceed the spare load; it moves only if the receiver ends up with a
             // lower relative load than the current owner has.
-            let relative_load = (self.loads[to] + self.curve.load(piece)) / self.fair(to);
-            if relative_load >= self.share(from) {
+            let relative_load = (self.loads[to] + self.curve.load(piece)) / self.fair_load(to);
+            if relative_load >= self.relative_load(from) {
                 return;
             }
             self.assign(piece, to);
@@ -262,9 +267,9 @@
         if amount <= 0.0 {
             return None;
         }
-        let owned = self.ranges.iter().filter(|(_, h)| *h == Some(from));
+        let owned = self.ranges.iter().filter(|(_, owner)| *owner == Some(from));
         let pieces: Vec<KeyRange> = owned
-            .flat_map(|(s, _)| self.curve.pieces(*s, amount))
+            .flat_map(|(span, _)| self.curve.pieces(*span, amount))
             .collect();
         let density_of = |span: &KeyRange| self.curve.load(*span) / f64::from(span.len());
         // A piece that is much busier than requested is used only if nothing else fits.
@@ -275,7 +280,7 @@
         piece.copied().filter(|span| density_of(span) >= density)
     }
 
-    /// Merges lightly loaded ranges into a neighbour's while there are more ranges than the target.
+    /// Merges lightly loaded ranges into neighbouring ones while there are more ranges than the target.
     pub(crate) fn merge_lightly_loaded(&mut self) {
         let target = (self.candidates.len() as f64 * RANGES_PER_SERVER_TARGET).ceil() as usize;
         for _ in 0..MERGES_MIN.max(self.candidates.len()) {
@@ -289,12 +294,12 @@
         }
     }
 
-    /// Returns the index of the least loaded range whose neighbour has enough spare load, and that
-    /// neighbour. The only range of a candidate is not merged.
+    /// Returns the index of the least loaded of the lightly loaded ranges, if the owner of a neighbouring range
+    /// has enough spare load, and that owner. The only range of a candidate is not merged.
     fn least_loaded_mergeable(&self) -> Option<(usize, usize)> {
         let mut best: Option<(f64, usize, usize)> = None;
         let mut range_counts = vec![0; self.candidates.len()];
-        for owner in self.ranges.iter().filter_map(|(_, h)| *h) {
+        for owner in self.ranges.iter().filter_map(|(_, owner)| *owner) {
             range_counts[owner] += 1;
         }
         for (at, (span, owner)) in self.ranges.iter().enumerate() {
@@ -302,13 +307,16 @@
                 continue;
             };
             let load = self.curve.load(*span);
-            if load > self.fair(owner) * COLD_RANGE_SHARE || range_counts[owner] < 2 {
+            if load > self.fair_load(owner) * LIGHT_RANGE_SHARE || range_counts[owner] < 2 {
                 continue;
             }
             let before = at.checked_sub(1).and_then(|i| self.ranges.get(i));
             let neighbours = [before, self.ranges.get(at + 1)];
-            let neighbours = neighbours.into_iter().flatten().filter_map(|(_, h)| *h);
-            let fits = neighbours.filter(|h| self.spare_load(*h) >= load);
+            let neighbours = neighbours
+                .into_iter()
+                .flatten()
+                .filter_map(|(_, owner)| *owner);
+            let fits = neighbours.filter(|c| self.spare_load(*c) >= load);
             let receiver = fits.max_by(|a, b| self.spare_load(*a).total_cmp(&self.spare_load(*b)));
             if let Some(to) = receiver
                 && best.is_none_or(|(min_load, ..)| load < min_load)
--- a/crates/chicoryrail-ownership/src/keys/due.rs
+++ b/crates/chicoryrail-ownership/src/keys/due.rs
@@ -11,7 +11,7 @@
 use crate::keys::lease::ConfirmedLease;
 use crate::keys::server_state::ServerState;
 
-/// Maximum age of a server's last seen registration for which the server is still probed.
+/// Maximum time since a server's registration was last seen for which the server is still probed.
 const REGISTRATION_AGE_MAX: Millis = Millis(1_000);
 
 /// Maximum number of concurrent releases at one server; each uses its own connection.
@@ -46,12 +46,12 @@
             state.confirmed.retain(|l| now < l.renew_at + grace);
         }
         let (servers, expired) = (&self.servers, &mut self.expired);
-        self.former_leases.retain(|c| {
-            let ended = servers.get(&c.owned.owner).is_none_or(|s| s.ended);
-            if !ended && now >= c.expires_at {
-                expired.push(c.owned.clone());
+        self.former_leases.retain(|l| {
+            let ended = servers.get(&l.owned.owner).is_none_or(|s| s.ended);
+            if !ended && now >= l.expires_at {
+                expired.push(l.owned.clone());
             }
-            !ended && now < c.expires_at
+            !ended && now < l.expires_at
         });
     }
 
@@ -64,8 +64,8 @@
         grants.collect()
     }
 
-    /// Returns the next grant for a server: first a renewal that is due, then keys that are assigned to it
-    /// and that no other server may still hold.
+    /// Returns the next grant for a server: a renewal that is due, or else, with `allow_new`, keys that are
+    /// assigned to the server and that no other server may still hold.
     fn next_grant(
         &self,
         now: Millis,
@@ -88,19 +88,19 @@
         })
     }
 
-    /// Returns keys that are assigned to a server, not granted to it yet and not held by any other. Keys
-    /// that were released with a handover token are granted separately, so that the grant carries the
-    /// token.
+    /// Returns keys that are assigned to a server, not granted to it yet, not possibly held by another server,
+    /// and not in a release in flight to this one. Keys that were released with a handover token are granted
+    /// separately, so that the grant carries the token.
     fn grantable(&self, life: &Life, state: &ServerState) -> Option<(KeyRange, Option<String>)> {
         let unconfirmed = state.unconfirmed();
         unconfirmed.first()?;
-        let others = self.former_leases.iter().filter(|c| c.owned.owner != *life);
+        let others = self.former_leases.iter().filter(|l| l.owned.owner != *life);
         let free = unconfirmed
-            .without(others.map(|c| c.owned.span))
+            .without(others.map(|l| l.owned.span))
             .without(state.pending_releases.iter().copied());
-        let mut handed_over = self.released_keys.iter().filter(|f| f.handover.is_some());
+        let mut handed_over = self.released_keys.iter().filter(|r| r.handover.is_some());
         let handed_over =
-            handed_over.find_map(|f| Some((free.first_overlap(f.span)?, f.handover.clone())));
+            handed_over.find_map(|r| Some((free.first_overlap(r.span)?, r.handover.clone())));
         handed_over.or_else(|| free.first().map(|span| (span, None)))
     }
 
@@ -116,11 +116,11 @@
                 continue;
             };
             let pending = state.pending_releases.iter().chain(&state.pending_grant);
-            let free = pending.clone().all(|s| s.intersect(span).is_none());
+            let no_call_pending = pending.clone().all(|s| s.intersect(span).is_none());
             let in_flight = in_flight
                 .entry(life)
                 .or_insert(state.pending_releases.len());
-            if free
+            if no_call_pending
                 && *in_flight < RELEASES_PER_SERVER_MAX
                 && state.is_callable()
                 && now >= former.retry_at
@@ -157,7 +157,7 @@
     }
 }
 
-/// Returns the range that a server must renew: a piece that is due together with all pieces adjacent to it.
+/// Returns the first range that a server must renew: a lease that is due, joined with all leases adjacent to it.
 fn due_renewal(now: Millis, confirmed: &[ConfirmedLease]) -> Option<KeyRange> {
     let mut confirmed = confirmed.to_vec();
     confirmed.sort_by_key(|l| l.span);
@@ -165,11 +165,11 @@
     for lease in confirmed {
         let (span, due) = (lease.span, now >= lease.renew_at);
         current = match current {
-            Some((whole, any_due)) if u32::from(whole.last) + 1 >= u32::from(span.first) => {
-                let last = whole.last.max(span.last);
-                Some((KeyRange { last, ..whole }, any_due || due))
+            Some((joined, any_due)) if u32::from(joined.last) + 1 >= u32::from(span.first) => {
+                let last = joined.last.max(span.last);
+                Some((KeyRange { last, ..joined }, any_due || due))
             }
-            Some((whole, true)) => return Some(whole),
+            Some((joined, true)) => return Some(joined),
             _ => Some((span, due)),
         };
     }
--- a/crates/chicoryrail-ownership/src/keys/key_action.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_action.rs
@@ -18,7 +18,7 @@
         addr: SocketAddr,
         /// Range of keys to grant.
         span: KeyRange,
-        /// Fence (fencing token) of the grant.
+        /// Fencing token of the grant.
         fence: u64,
         /// Handover token from the previous owner's release.
         handover: Option<String>,
@@ -31,7 +31,7 @@
         addr: SocketAddr,
         /// Range of keys to release.
         span: KeyRange,
-        /// Fence (fencing token) of the release.
+        /// Fencing token of the release.
         fence: u64,
     },
     /// Write the record, on condition that this process is still the leader.
@@ -43,7 +43,7 @@
 pub enum GrantOutcome {
     /// The server accepted the grant and holds the keys.
     Granted,
-    /// The server has seen a higher fence, so there is another leader.
+    /// The server has seen a higher fencing token, so there is another leader.
     StaleFence,
     /// Another server answered at the address, so the intended incarnation has ended.
     WrongServer,
--- a/crates/chicoryrail-ownership/src/keys/key_leases.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_leases.rs
@@ -29,9 +29,9 @@
 /// - A record is in the store before any grant under it is sent.
 /// - A key is granted to another server only after its former owner answered a release, the former owner's
 ///   lease has certainly expired, or the former owner's incarnation has ended.
-/// - A new leader first writes the existing assignment under a higher fence and grants it again, so that
-///   servers refuse an older leader's renewals. For a server that it can't reach, it waits for as long as
-///   the older leader may have kept renewing.
+/// - A new leader first writes the existing assignment under a higher fencing token and grants it again, so that
+///   servers refuse an older leader's renewals. If it can't reach a server, it treats the server's lease as
+///   running for as long as the older leader may have kept renewing.
 #[derive(Debug)]
 pub struct KeyLeases {
     pub(super) timing: KeyTiming,
@@ -39,9 +39,11 @@
     pub(super) servers: BTreeMap<Life, ServerState>,
     pub(super) former_leases: Vec<FormerLease>,
     pub(super) released_keys: Vec<ReleasedKeys>,
+    /// Record that is to be written to the store; `None` while no write is due or in progress.
     pub(super) pending_record: Option<KeyRecord>,
     /// Former owners' leases that expired and have not been returned by `take_expired` yet.
     pub(super) expired: Vec<OwnedRange>,
+    /// Whether a server has seen a higher fencing token.
     pub(super) deposed: bool,
     /// Duration of the grants sent now.
     lease_duration: Millis,
@@ -50,8 +52,9 @@
 impl KeyLeases {
     /// Builds the leases of a new leader from the record in the store, at `now`.
     ///
-    /// The first action is to write the record again under a higher fence. Every server in the record may
-    /// hold its keys for as long as an earlier leader may have renewed them.
+    /// The first action is to write the record again under a higher fencing token; `attempt` is the random number
+    /// of that write. Every server in the record may hold its keys for as long as an earlier leader may have
+    /// renewed them.
     ///
     /// `store_outage` is `true` if the store was unavailable recently, so that an earlier leader may have
     /// sent grants with the longer duration for an outage.
@@ -106,9 +109,9 @@
 
     /// Sets whether every host reports the store as unavailable, which determines the duration of the
     /// grants from now on.
-    pub fn set_store_down(&mut self, outage: bool) {
+    pub fn set_store_down(&mut self, store_down: bool) {
         let timing = &self.timing;
-        self.lease_duration = if outage {
+        self.lease_duration = if store_down {
             timing.outage_lease
         } else {
             timing.lease
@@ -121,13 +124,13 @@
         self.lease_duration
     }
 
-    /// Returns the record in force; grants are sent under its fence.
+    /// Returns the record in force; grants are sent under its fencing token.
     #[must_use]
     pub const fn record(&self) -> &KeyRecord {
         &self.record
     }
 
-    /// Returns `true` if a server has seen a higher fence, which means that there is another leader.
+    /// Returns `true` if a server has seen a higher fencing token, which means that there is another leader.
     #[must_use]
     pub const fn is_deposed(&self) -> bool {
         self.deposed
@@ -143,7 +146,7 @@
             || !self.servers.values().all(granted)
     }
 
-    /// Returns `true` if the record still lists former owners that no longer hold anything.
+    /// Returns `true` if the record still lists former owners that no longer hold the keys.
     #[must_use]
     pub fn has_stale_former_owners(&self) -> bool {
         self.record.loose.len() > self.former_leases.len()
@@ -159,11 +162,12 @@
     #[must_use]
     pub fn lease_owners(&self) -> Vec<Life> {
         let owners = self.record.spans.iter().map(|s| s.owner.clone());
-        let former = self.former_leases.iter().map(|c| c.owned.owner.clone());
+        let former = self.former_leases.iter().map(|l| l.owned.owner.clone());
         owners.chain(former).collect()
     }
 
-    /// Returns `true` if a server has left grants unanswered for so long that others should own its keys.
+    /// Returns `true` if a server has left grants unanswered for so long, half of a lease, that others should own
+    /// its keys.
     #[must_use]
     pub fn is_lost(&self, now: Millis, life: &Life) -> bool {
         let Some(since) = self.servers.get(life).and_then(|s| s.unanswered_since) else {
@@ -172,12 +176,12 @@
         now.since(since) >= Millis(self.timing.lease.0 / 2)
     }
 
-    /// Returns the keys whose former owner's lease ran until its end, and clears them.
+    /// Returns the former owners' leases that ran until their end since the last call.
     pub fn take_expired(&mut self) -> Vec<OwnedRange> {
         std::mem::take(&mut self.expired)
     }
 
-    /// Returns since when a server has not answered grants.
+    /// Returns the time of the first unanswered grant since a server's last answer, if any.
     #[must_use]
     pub fn unanswered_since(&self, life: &Life) -> Option<Millis> {
         self.servers.get(life)?.unanswered_since
@@ -187,7 +191,9 @@
     #[must_use]
     pub fn ungranted_keys(&self) -> Vec<KeyRange> {
         let servers = self.servers.values();
-        servers.flat_map(|s| s.unconfirmed().into_spans()).collect()
+        servers
+            .flat_map(|s| s.unconfirmed().into_ranges())
+            .collect()
     }
 
     /// Records a server's address and that its registration was seen now.
@@ -208,7 +214,7 @@
 
     /// Starts a change of the owners. Must be called only while no change is pending.
     pub fn begin_change(&mut self, spans: Vec<OwnedRange>, attempt: u64) {
-        let loose: Vec<_> = self.former_leases.iter().map(|c| c.owned.clone()).collect();
+        let loose: Vec<_> = self.former_leases.iter().map(|l| l.owned.clone()).collect();
         self.pending_record = Some(self.record.next(spans, &loose, attempt));
     }
 
@@ -217,14 +223,14 @@
         let Some(next) = self.pending_record.take() else {
             return;
         };
-        // A former owner may have been granted its loose keys again since, and then holds them until its
-        // last grant ends; so the end of each lease is computed again.
+        // A former owner may have been granted its loose keys again in the meantime, and then holds them until
+        // its last grant ends. So the end of each lease is computed again.
         let before = std::mem::take(&mut self.former_leases);
         let former_leases = next.loose.iter().map(|owned| {
-            let overlaps = |c: &&FormerLease| {
-                c.owned.owner == owned.owner && c.owned.span.intersect(owned.span).is_some()
+            let overlaps = |l: &&FormerLease| {
+                l.owned.owner == owned.owner && l.owned.span.intersect(owned.span).is_some()
             };
-            let earlier_end = before.iter().filter(overlaps).map(|c| c.expires_at).max();
+            let earlier_end = before.iter().filter(overlaps).map(|l| l.expires_at).max();
             let lease_until = self.servers.get(&owned.owner).map(|s| s.lease_until);
             FormerLease {
                 owned: owned.clone(),
@@ -266,7 +272,7 @@
         life: &Life,
         span: KeyRange,
         fence: u64,
-        end: GrantOutcome,
+        outcome: GrantOutcome,
     ) {
         let retry_at = now + Millis(self.timing.renew_interval.0 / 4);
         let Some(state) = self.servers.get_mut(life) else {
@@ -274,9 +280,9 @@
         };
         state.pending_grant = None;
         let max_lease = KeyTiming::max_lease(state.lease_duration);
-        match end {
+        match outcome {
             GrantOutcome::Granted => {
-                // A server that accepted this fence refuses older grants, so grants of an earlier leader
+                // A server that accepted this fencing token refuses older grants, so grants of an earlier leader
                 // and grants whose answer was lost no longer count.
                 state.lease_until = state.outage_lease_until.max(now + max_lease);
                 state.unanswered_since = None;
@@ -307,42 +313,44 @@
         now: Millis,
         life: &Life,
         span: KeyRange,
-        end: ReleaseOutcome,
+        outcome: ReleaseOutcome,
     ) {
         let Some(state) = self.servers.get_mut(life) else {
             return;
         };
-        if let Some(at) = state.pending_releases.iter().position(|s| *s == span) {
-            state.pending_releases.swap_remove(at);
+        if let Some(index) = state.pending_releases.iter().position(|s| *s == span) {
+            state.pending_releases.swap_remove(index);
         }
-        if matches!(end, ReleaseOutcome::Released(_)) {
+        if matches!(outcome, ReleaseOutcome::Released(_)) {
             state.unanswered_since = None;
         }
-        match end {
-            // The release carried a higher fence than every grant of these keys to this server, including
+        match outcome {
+            // The release carried a higher fencing token than every grant of these keys to this server, including
             // one whose answer was lost: the server refuses such a grant when it arrives late.
             ReleaseOutcome::Released(handover) => {
-                let released = |c: &FormerLease| {
-                    c.owned.owner == *life && c.owned.span.without(span).is_empty()
+                let released = |l: &FormerLease| {
+                    l.owned.owner == *life && l.owned.span.without(span).is_empty()
                 };
-                self.former_leases.retain(|c| !released(c));
+                self.former_leases.retain(|l| !released(l));
                 self.released_keys.push(ReleasedKeys { span, handover });
             }
             ReleaseOutcome::WrongServer => self.server_ended(&life.clone()),
             ReleaseOutcome::NoAnswer => {
-                // A server that keeps other keys must be renewed at once; one without keys can wait.
+                // The leases of a server that keeps other keys must be renewed on time; probes of a server without
+                // keys, and grants to it, can wait.
                 if state.assigned.is_empty() {
                     state.retry_at = now + self.timing.probe_interval;
                 }
-                self.retry_release(life, span, now + Millis(self.timing.renew_interval.0 / 4));
+                self.set_release_retry(life, span, now + Millis(self.timing.renew_interval.0 / 4));
             }
         }
     }
 
-    fn retry_release(&mut self, life: &Life, span: KeyRange, at: Millis) {
+    /// Sets the earliest time of the next release of a former owner's keys that overlap `span`.
+    fn set_release_retry(&mut self, life: &Life, span: KeyRange, at: Millis) {
         let former_leases = self.former_leases.iter_mut();
         let overlaps =
-            |c: &&mut FormerLease| c.owned.owner == *life && c.owned.span.intersect(span).is_some();
+            |l: &&mut FormerLease| l.owned.owner == *life && l.owned.span.intersect(span).is_some();
         for former in former_leases.filter(overlaps) {
             former.retry_at = at;
         }
--- a/crates/chicoryrail-ownership/src/keys/key_load.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_load.rs
@@ -1,4 +1,4 @@
-//! Request load of each key.
+//! Measurement of the request load by key.
 
 use chicoryrail_core::Millis;
 
@@ -11,14 +11,14 @@
 
 /// Time window over which load is averaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Window {
+pub enum LoadWindow {
     /// The last second or two: shows which range has just become busy.
     Short,
     /// The last few seconds: enough requests to distinguish a busy server from random variation.
     Long,
 }
 
-impl Window {
+impl LoadWindow {
     /// Returns the time in which the weight of a request halves.
     const fn half_life(self) -> Millis {
         match self {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Exponentially decaying request counts by key, for both windows.
+/// Request load of each key, over a short and a long window.
 #[derive(Clone, Debug, Default)]
 pub struct KeyLoad {
     short: DecayingCounts,
@@ -39,14 +39,14 @@
 /// Exponentially decaying request counts by key.
 #[derive(Clone, Debug)]
 struct DecayingCounts {
-    keys: Vec<f32>,
+    by_key: Vec<f32>,
     total: f64,
 }
 
 impl Default for DecayingCounts {
     fn default() -> Self {
         Self {
-            keys: vec![0.0; KEY_COUNT],
+            by_key: vec![0.0; KEY_COUNT],
             total: 0.0,
         }
     }
@@ -54,14 +54,14 @@
 
 impl DecayingCounts {
     fn record(&mut self, key: u16) {
-        self.keys[usize::from(key)] += 1.0;
+        self.by_key[usize::from(key)] += 1.0;
         self.total += 1.0;
     }
 
     fn decay(&mut self, elapsed: Millis, half_life: Millis) {
         let factor = 0.5_f64.powf(elapsed.0 as f64 / half_life.0 as f64);
-        for load in &mut self.keys {
-            *load *= factor as f32;
+        for count in &mut self.by_key {
+            *count *= factor as f32;
         }
         self.total *= factor;
     }
@@ -78,12 +78,12 @@
     /// passed.
     pub fn decay(&mut self, now: Millis) {
         let elapsed = now.since(self.decayed_at);
-        if elapsed.0 < Window::Short.half_life().0 / 4 {
+        if elapsed.0 < LoadWindow::Short.half_life().0 / 4 {
             return;
         }
         self.decayed_at = now;
-        self.short.decay(elapsed, Window::Short.half_life());
-        self.long.decay(elapsed, Window::Long.half_life());
+        self.short.decay(elapsed, LoadWindow::Short.half_life());
+        self.long.decay(elapsed, LoadWindow::Long.half_life());
     }
 
     /// Returns the total load over the long window, in requests.
@@ -95,16 +95,16 @@
     /// Returns the load of a range over the long window, in requests.
     #[must_use]
     pub fn range_load(&self, span: KeyRange) -> f64 {
-        let keys = &self.long.keys[usize::from(span.first)..=usize::from(span.last)];
-        keys.iter().map(|load| f64::from(*load)).sum()
+        let counts = &self.long.by_key[usize::from(span.first)..=usize::from(span.last)];
+        counts.iter().map(|count| f64::from(*count)).sum()
     }
 
-    /// Iterates over the loads of all keys in key order, in requests.
-    pub(crate) fn keys(&self, window: Window) -> impl Iterator<Item = f64> {
+    /// Iterates over the loads of all keys over `window` in key order, in requests.
+    pub(crate) fn key_loads(&self, window: LoadWindow) -> impl Iterator<Item = f64> {
         let counts = match window {
-            Window::Short => &self.short,
-            Window::Long => &self.long,
+            LoadWindow::Short => &self.short,
+            LoadWindow::Long => &self.long,
         };
-        counts.keys.iter().map(|load| f64::from(*load))
+        counts.by_key.iter().map(|count| f64::from(*count))
     }
 }
--- a/crates/chicoryrail-ownership/src/keys/key_view.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_view.rs
@@ -1,4 +1,4 @@
-//! Key owners of a service as known to this host.
+//! A host's view of the key owners of a service, by which it routes requests.
 
 use chicoryrail_core::Life;
 use chicoryrail_core::Millis;
@@ -6,8 +6,8 @@
 use crate::keys::KeyRange;
 use crate::keys::KeyRecord;
 
-/// Maximum time for which a reassigned key counts as not granted yet while the leader sends no update.
-/// After it, requests go to the assigned owner, which rejects those for keys that it does not hold.
+/// Maximum time for which a reassigned key counts as not granted yet while the leader sends no update. After it,
+/// requests go to the assigned owner, which refuses those for keys that it does not hold.
 const KEY_UPDATE_TIMEOUT: Millis = Millis(400);
 
 /// Owner of a key, as far as this host knows.
@@ -29,15 +29,17 @@
 pub struct KeyView {
     record: KeyRecord,
     previous: KeyRecord,
+    /// Time at which the current record was applied.
     changed_at: Millis,
-    /// Fence that the leader's last update of ungranted keys is valid for.
+    /// Fencing token of the record to which `blocked` refers.
     blocked_fence: u64,
+    /// Keys that the leader has not granted yet, by its last update.
     blocked: Vec<KeyRange>,
 }
 
 impl KeyView {
-    /// Applies a record from the store or from the leader and returns `true`; returns `false` if its fence
-    /// is not higher than that of the current one.
+    /// Applies a record from the store or from the leader and returns `true`; returns `false` if its fencing
+    /// token is not higher than that of the current one.
     pub fn apply_record(&mut self, now: Millis, record: KeyRecord) -> bool {
         if record.fence <= self.record.fence {
             return false;
@@ -47,8 +49,8 @@
         true
     }
 
-    /// Applies the list of keys that the leader has not granted yet under a fence. An update with an older
-    /// fence is ignored.
+    /// Applies the list of keys that the leader has not granted yet under a fencing token. An update with an
+    /// older token is ignored.
     pub fn apply_blocked(&mut self, fence: u64, blocked: Vec<KeyRange>) {
         if fence >= self.blocked_fence {
             self.blocked_fence = fence;
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Returns the fence of the current record.
+    /// Returns the fencing token of the current record.
     #[must_use]
     pub const fn fence(&self) -> u64 {
         self.record.fence
@@ -81,10 +83,10 @@
             return KeyOwner::Unassigned;
         };
         let moving = if self.blocked_fence == self.record.fence {
-            self.blocked.iter().any(|s| s.contains(key))
+            self.blocked.iter().any(|r| r.contains(key))
         } else {
-            // A host that has just started knows no previous record: the current one may have been in force
-            // for long.
+            // A host that has just started has no previous record (its fencing token is 0): the current one may
+            // have been in force for long.
             let unchanged = self.previous.fence == 0 || self.previous.owner(key) == Some(owner);
             !unchanged && now < self.changed_at + KEY_UPDATE_TIMEOUT
         };
--- a/crates/chicoryrail-ownership/src/keys/lease.rs
+++ b/crates/chicoryrail-ownership/src/keys/lease.rs
@@ -8,6 +8,7 @@
 /// Keys that a former owner may still hold.
 #[derive(Clone, Debug)]
 pub(crate) struct FormerLease {
+    /// Range of the keys, and the former owner.
     pub(crate) owned: OwnedRange,
     /// When the former owner's lease has certainly expired.
     pub(crate) expires_at: Millis,
--- a/crates/chicoryrail-ownership/src/keys/load_curve.rs
+++ b/crates/chicoryrail-ownership/src/keys/load_curve.rs
@@ -2,18 +2,18 @@
 
 use crate::keys::KeyLoad;
 use crate::keys::KeyRange;
-use crate::keys::Window;
+use crate::keys::LoadWindow;
 
 /// Requests added to the observed ones, spread evenly over all keys. Keys without recent requests still
 /// have a cost, and without observed load the key space is split evenly.
 const BASELINE_REQUESTS: f64 = 30.0;
 
-/// Iterations of capping the load of a key at one server's share. Each lowers the total and therefore the
-/// share, by less each time.
+/// Iterations of capping the load of a key at one server's fair share. Each lowers the total load and therefore
+/// the share, by less each time.
 const CAP_ITERATIONS: usize = 3;
 
-/// Maximum length of a piece at the end of a range, as a multiple of the shortest piece within it, for the
-/// end to be preferred: a piece from the middle splits one range into three.
+/// Maximum length of a piece at either end of a range, as a multiple of the best piece found anywhere in the
+/// range, for the end to be preferred: a piece from the middle splits one range into three.
 const END_LENGTH_FACTOR: u32 = 2;
 
 /// Maximum load of a preferred piece, relative to the requested load.
@@ -32,13 +32,17 @@
 impl LoadCurve {
     /// Builds the curve with the load of each key capped at the fair share of an average server, and
     /// returns it with the fair load for a weight of 1.
-    pub(crate) fn with_fair_load(weights: &[f64], load: &KeyLoad, window: Window) -> (Self, f64) {
+    pub(crate) fn with_fair_load(
+        weights: &[f64],
+        load: &KeyLoad,
+        window: LoadWindow,
+    ) -> (Self, f64) {
         let total_weight: f64 = weights.iter().sum();
         let mean_weight = total_weight / weights.len() as f64;
         let baseline = BASELINE_REQUESTS / f64::from(KEY_COUNT);
         let capped = |cap: f64| {
-            let keys = load.keys(window);
-            keys.map(move |seen| (seen + baseline).min(cap))
+            let loads = load.key_loads(window);
+            loads.map(move |observed| (observed + baseline).min(cap))
         };
         let mut cap = f64::INFINITY;
         for _ in 0..CAP_ITERATIONS {
@@ -53,6 +57,7 @@
         (Self { sums }, sum / total_weight)
     }
 
+    /// Returns the load of all keys, in requests.
     pub(crate) fn total(&self) -> f64 {
         self.sums.last().copied().unwrap_or_default()
     }
@@ -64,11 +69,11 @@
 
     /// Returns the load of all keys before `key`.
     fn load_before(&self, key: u32) -> f64 {
-        let left = self.sums.get(key as usize);
-        left.copied().unwrap_or_else(|| self.total())
+        let sum = self.sums.get(key as usize);
+        sum.copied().unwrap_or_else(|| self.total())
     }
 
-    /// Returns the start of a range with `load`, or the whole range if it has no more.
+    /// Returns the start of a range with about `load`, at least one key; the whole range if it has no more load.
     pub(crate) fn prefix_with_load(&self, span: KeyRange, load: f64) -> KeyRange {
         let end = self.key_at_load(self.load_before(u32::from(span.first)) + load);
         let last = (end.max(u32::from(span.first) + 1) - 1).min(u32::from(span.last));
@@ -78,7 +83,7 @@
         }
     }
 
-    /// Returns the end of a range with `load`, or the whole range if it has no more.
+    /// Returns the end of a range with about `load`, at least one key; the whole range if it has no more load.
     pub(crate) fn suffix_with_load(&self, span: KeyRange, load: f64) -> KeyRange {
         let start = self.key_at_load(self.load_before(u32::from(span.last) + 1) - load);
         let first = start.min(u32::from(span.last)).max(u32::from(span.first));
@@ -88,8 +93,8 @@
         }
     }
 
-    /// Returns the best pieces of a range with about `amount` load: the shortest run with at most
-    /// `OVERSHOOT_FACTOR` times as much, and the shortest run of all. An end of the range replaces the
+    /// Returns the best pieces of a range with a load of about `amount`: the shortest run of keys with at most
+    /// `OVERSHOOT_FACTOR` times as much, and the shortest run of all. A piece at an end of the range replaces the
     /// first of them if it is not much longer. Returns the whole range if no run has enough load.
     pub(crate) fn pieces(&self, span: KeyRange, amount: f64) -> Vec<KeyRange> {
         let amount = amount.min(self.load(span));
@@ -135,7 +140,7 @@
         })
     }
 
-    /// Returns the first key before which there is at least `load`.
+    /// Returns the first key before which the keys have at least `load`, or the number of keys if there is none.
     fn key_at_load(&self, load: f64) -> u32 {
         let key = self.sums.partition_point(|s| *s < load);
         (key as u32).min(KEY_COUNT)
--- a/crates/chicoryrail-ownership/src/keys/mod.rs
+++ b/crates/chicoryrail-ownership/src/keys/mod.rs
@@ -1,8 +1,10 @@
-//! Assignment of keys to servers, managed by one leader; servers check fencing tokens themselves.
+//! Assignment of keys to servers by one leader. Servers refuse grants with an outdated fencing token, so a former
+//! leader can't undo the grants of its successor.
 //!
-//! A [`KeyRecord`] is kept in the store and changed by compare-and-swap before any grant under it is sent.
-//! [`KeyLeases`] is the leader's state machine for one service: it returns the grants, releases and writes
-//! that are due and is given their outcomes. A [`Plan`] determines which key ranges each server should own.
+//! A [`KeyRecord`] is kept in the store. It is changed by compare-and-swap before any grant under it is sent.
+//! [`KeyLeases`] is the leader's state machine for one service: it returns the grants, releases and writes that
+//! are due, and the caller reports their outcomes to it. A [`Plan`] determines which key ranges each server
+//! should own.
 
 mod assignment;
 mod due;
@@ -23,7 +25,7 @@
 pub use key_action::ReleaseOutcome;
 pub use key_leases::KeyLeases;
 pub use key_load::KeyLoad;
-pub use key_load::Window;
+pub use key_load::LoadWindow;
 pub use key_view::KeyOwner;
 pub use key_view::KeyView;
 pub use plan::KeyCandidate;
--- a/crates/chicoryrail-ownership/src/keys/plan.rs
+++ b/crates/chicoryrail-ownership/src/keys/plan.rs
@@ -7,8 +7,8 @@
 use crate::keys::KeyLoad;
 use crate::keys::KeyRange;
 use crate::keys::KeyRecord;
+use crate::keys::LoadWindow;
 use crate::keys::OwnedRange;
-use crate::keys::Window;
 use crate::keys::assignment::Assignment;
 use crate::keys::load_curve::LoadCurve;
 
@@ -22,8 +22,8 @@
 /// Load relative to the fair share above which a server is relieved at once.
 const RELIEF_THRESHOLD: f64 = 1.4;
 
-/// Standard deviations added to `RELIEF_THRESHOLD`: a server gets only a few dozen requests in the last
-/// second or two, so its load varies randomly.
+/// Standard deviations of a fair load that are added to `RELIEF_THRESHOLD`: a server gets only a few dozen
+/// requests in the last second or two, so its load varies randomly.
 const RELIEF_DEVIATIONS: f64 = 1.5;
 
 /// Standard deviations above `FAIR_SHARE_MARGIN` that do not count as overload when balancing without
@@ -63,7 +63,7 @@
 }
 
 impl Plan {
-    /// Plans the key ranges of the servers that may own keys.
+    /// Plans the key ranges of the candidates.
     ///
     /// The keys of a server that left go to the servers with the most spare load, and a new server gets
     /// keys from the busiest ones; all other servers keep theirs. A busy range is split into pieces, down
@@ -88,8 +88,12 @@
         {
             return Self::Keep;
         }
-        let window = if urgent { Window::Short } else { Window::Long };
-        let weights: Vec<f64> = candidates.iter().map(|h| h.weight).collect();
+        let window = if urgent {
+            LoadWindow::Short
+        } else {
+            LoadWindow::Long
+        };
+        let weights: Vec<f64> = candidates.iter().map(|c| c.weight).collect();
         let (curve, unit_load) = LoadCurve::with_fair_load(&weights, load, window);
         let mut assignment = Assignment::new(&record.spans, candidates, &curve, unit_load);
         if !assignment.has_owners() {
@@ -117,13 +121,13 @@
             return Self::Keep;
         }
         assignment.merge_lightly_loaded();
-        Self::Change(assignment.into_spans())
+        Self::Change(assignment.into_owned_ranges())
     }
 }
 
 /// Returns `true` if owners are no longer candidates, candidates own no keys, or keys have no owner.
 fn has_membership_change(record: &KeyRecord, candidates: &[KeyCandidate]) -> bool {
-    let lives: BTreeSet<&Life> = candidates.iter().map(|h| &h.life).collect();
+    let lives: BTreeSet<&Life> = candidates.iter().map(|c| &c.life).collect();
     let owners: BTreeSet<&Life> = record.spans.iter().map(|s| &s.owner).collect();
     let keys: u32 = record.spans.iter().map(|s| s.span.len()).sum();
     lives != owners || keys != KeyRange::ALL.len()
@@ -138,8 +142,8 @@
 /// Splits the whole key space into one range for each candidate, in their order, sized by weight and load.
 #[must_use]
 pub fn split_key_space(candidates: &[KeyCandidate], load: &KeyLoad) -> Vec<OwnedRange> {
-    let weights: Vec<f64> = candidates.iter().map(|h| h.weight).collect();
-    let (curve, unit_load) = LoadCurve::with_fair_load(&weights, load, Window::Long);
+    let weights: Vec<f64> = candidates.iter().map(|c| c.weight).collect();
+    let (curve, unit_load) = LoadCurve::with_fair_load(&weights, load, LoadWindow::Long);
     let mut rest = KeyRange::ALL;
     let mut spans = Vec::with_capacity(candidates.len());
     for (i, candidate) in candidates.iter().enumerate() {
--- a/crates/chicoryrail-ownership/src/keys/range_set.rs
+++ b/crates/chicoryrail-ownership/src/keys/range_set.rs
@@ -8,37 +8,38 @@
 
 impl RangeSet {
     /// Builds the set from ranges that do not overlap.
-    pub(crate) const fn new(spans: Vec<KeyRange>) -> Self {
-        Self(spans)
+    pub(crate) const fn new(ranges: Vec<KeyRange>) -> Self {
+        Self(ranges)
     }
 
     /// Builds the set from a single range.
-    pub(crate) fn from_range(span: KeyRange) -> Self {
-        Self(vec![span])
+    pub(crate) fn from_range(range: KeyRange) -> Self {
+        Self(vec![range])
     }
 
-    /// Returns the set without the keys of the `cuts`.
+    /// Returns the set without the keys of `removed`.
     #[must_use]
-    pub(crate) fn without(self, cuts: impl IntoIterator<Item = KeyRange>) -> Self {
-        let cut = |remaining: Vec<KeyRange>, cut: KeyRange| {
+    pub(crate) fn without(self, removed: impl IntoIterator<Item = KeyRange>) -> Self {
+        let remove = |remaining: Vec<KeyRange>, range: KeyRange| {
             let remaining = remaining.into_iter();
-            remaining.flat_map(|s| s.without(cut)).collect()
+            remaining.flat_map(|r| r.without(range)).collect()
         };
-        Self(cuts.into_iter().fold(self.0, cut))
+        Self(removed.into_iter().fold(self.0, remove))
     }
 
-    /// Returns the first range, or `None` if the set is empty.
+    /// Returns the range that was added first, or `None` if the set is empty. It is the lowest one if the set is
+    /// sorted.
     pub(crate) fn first(&self) -> Option<KeyRange> {
         self.0.first().copied()
     }
 
-    /// Returns the first overlap of a range of the set with `span`.
-    pub(crate) fn first_overlap(&self, span: KeyRange) -> Option<KeyRange> {
-        self.0.iter().find_map(|s| s.intersect(span))
+    /// Returns the overlap with `range` of the first range of the set that overlaps it.
+    pub(crate) fn first_overlap(&self, range: KeyRange) -> Option<KeyRange> {
+        self.0.iter().find_map(|r| r.intersect(range))
     }
 
-    /// Iterates over the ranges.
-    pub(crate) fn into_spans(self) -> impl Iterator<Item = KeyRange> {
+    /// Converts the set into its ranges.
+    pub(crate) fn into_ranges(self) -> impl Iterator<Item = KeyRange> {
         self.0.into_iter()
     }
 }
--- a/crates/chicoryrail-ownership/src/keys/record.rs
+++ b/crates/chicoryrail-ownership/src/keys/record.rs
@@ -24,7 +24,7 @@
         last: u16::MAX,
     };
 
-    /// Returns the keys that are in both ranges.
+    /// Returns the keys that are in both ranges, or `None` if there are none.
     #[must_use]
     pub fn intersect(self, other: Self) -> Option<Self> {
         let first = self.first.max(other.first);
@@ -38,20 +38,20 @@
         let Some(overlap) = self.intersect(other) else {
             return vec![self];
         };
-        let mut left = Vec::with_capacity(2);
+        let mut rest = Vec::with_capacity(2);
         if self.first < overlap.first {
-            left.push(Self {
+            rest.push(Self {
                 first: self.first,
                 last: overlap.first - 1,
             });
         }
         if overlap.last < self.last {
-            left.push(Self {
+            rest.push(Self {
                 first: overlap.last + 1,
                 last: self.last,
             });
         }
-        left
+        rest
     }
 
     /// Returns `true` if the range contains the key.
@@ -83,20 +83,21 @@
 }
 
 impl OwnedRange {
-    /// Builds the assignment of `span` to `owner`.
+    /// Builds the range of `owner`'s keys.
     #[must_use]
     pub const fn new(span: KeyRange, owner: Life) -> Self {
         Self { span, owner }
     }
 }
 
-/// Key assignment of a service. It changes only by compare-and-swap, and before a grant under it is sent.
+/// Record of a service's key assignment. It is changed only by compare-and-swap, and is in the store before any
+/// grant under it is sent.
 ///
-/// One fence covers the whole record. Each change raises the fence above all previous ones, so a server
+/// One fencing token covers the whole record. Each change raises the token above all previous ones, so a server
 /// that has accepted a grant of the new record refuses grants of an older one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRecord {
-    /// Fence (fencing token) of the grants.
+    /// Fencing token of the grants under this record; names say `fence` for short.
     pub fence: u64,
     /// Assigned ranges, sorted by key. Keys in none of them have no owner.
     pub spans: Vec<OwnedRange>,
@@ -111,13 +112,13 @@
     /// Returns the assigned owner of a key.
     #[must_use]
     pub fn owner(&self, key: u16) -> Option<&Life> {
-        let at = self.spans.partition_point(|s| s.span.last < key);
-        let span = self.spans.get(at)?;
-        span.span.contains(key).then_some(&span.owner)
+        let index = self.spans.partition_point(|s| s.span.last < key);
+        let owned = self.spans.get(index)?;
+        owned.span.contains(key).then_some(&owned.owner)
     }
 
-    /// Returns the next record with the given owners and a fence one higher. Ranges that earlier owners may
-    /// still hold become `loose`.
+    /// Returns the next record, with the given owners and a fencing token one higher. Ranges in `former`, which
+    /// former owners may still hold, and ranges that change their owner become `loose`.
     #[must_use]
     pub fn next(&self, spans: Vec<OwnedRange>, former: &[OwnedRange], attempt: u64) -> Self {
         let kept = ranges_by_owner(&spans);
@@ -125,8 +126,8 @@
         for old in former.iter().chain(&self.spans) {
             // Keys that an owner keeps or gets back are not loose.
             let kept = kept.get(&old.owner).into_iter().flatten().copied();
-            let left = RangeSet::from_range(old.span).without(kept);
-            for span in left.into_spans() {
+            let rest = RangeSet::from_range(old.span).without(kept);
+            for span in rest.into_ranges() {
                 let owned = OwnedRange::new(span, old.owner.clone());
                 if !loose.contains(&owned) {
                     loose.push(owned);
--- a/crates/chicoryrail-ownership/src/keys/server_state.rs
+++ b/crates/chicoryrail-ownership/src/keys/server_state.rs
@@ -1,4 +1,4 @@
-//! State that the leader tracks for one server.
+//! State of a server at the leader: its address, leases and calls in flight.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,12 @@
 /// State that the leader tracks for one server incarnation.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerState {
+    /// Address of the server; port 0 while the server is known only from the record.
     pub(crate) addr: SocketAddr,
     /// End of the longest lease that the server may hold, whichever leader granted it.
     pub(crate) lease_until: Millis,
-    /// Duration of the last grant sent; an outage of the store may begin or end while the grant is in
-    /// flight.
+    /// Duration of the last grant sent. It may differ from that of grants sent now, since an outage of the store
+    /// may begin or end while the grant is in flight.
     pub(crate) lease_duration: Millis,
     /// End of the longest lease granted with the duration for an outage. A later, shorter grant does not
     /// necessarily end it earlier: the longer grant may take effect after it, or the server keeps the later
@@ -41,7 +42,7 @@
 }
 
 impl ServerState {
-    /// Builds the state of a server of which only the address is known.
+    /// Builds the state of a server without keys, leases or calls.
     pub(crate) const fn new(addr: SocketAddr, now: Millis) -> Self {
         Self {
             addr,
@@ -71,20 +72,21 @@
     }
 
     /// Replaces the assigned keys, and drops confirmed keys that are no longer assigned.
-    pub(crate) fn assign(&mut self, spans: Vec<KeyRange>) {
+    pub(crate) fn assign(&mut self, ranges: Vec<KeyRange>) {
         let kept = self.confirmed.iter().flat_map(|confirmed| {
-            let overlaps = spans.iter().filter_map(|s| s.intersect(confirmed.span));
+            let overlaps = ranges.iter().filter_map(|r| r.intersect(confirmed.span));
             overlaps.map(|span| ConfirmedLease { span, ..*confirmed })
         });
         self.confirmed = kept.collect();
-        self.assigned = spans;
+        self.assigned = ranges;
     }
 
-    /// Records a confirmed grant of those keys in `span` that are assigned to the server.
+    /// Records that the server confirmed a grant of the range `span`. Only those of its keys that are still
+    /// assigned to the server count.
     pub(crate) fn confirm(&mut self, renew_at: Millis, span: KeyRange) {
         let replaced = |l: &ConfirmedLease| l.span.without(span).is_empty();
         self.confirmed.retain(|l| !replaced(l));
-        let assigned = self.assigned.iter().filter_map(|s| s.intersect(span));
+        let assigned = self.assigned.iter().filter_map(|r| r.intersect(span));
         self.confirmed
             .extend(assigned.map(|span| ConfirmedLease { span, renew_at }));
     }
--- a/crates/chicoryrail-ownership/src/keys/timing.rs
+++ b/crates/chicoryrail-ownership/src/keys/timing.rs
@@ -1,4 +1,4 @@
-//! Durations and timeouts of key leases.
+//! Timing of key leases.
 
 use chicoryrail_core::Millis;
 
@@ -7,8 +7,8 @@
 pub struct KeyTiming {
     /// Duration of a grant, from its arrival at the server.
     ///
-    /// The keys of a server lost without notice stay unserved until the end of its lease. A lost leader
-    /// must be replaced within that time.
+    /// The keys of a server lost without notice stay unserved until the end of its lease. A lost leader must be
+    /// replaced within a lease, or keys of running servers become unserved.
     pub lease: Millis,
     /// Duration of a grant while every host reports the store as unavailable. A leader lost then can't be
     /// replaced, so the keys are served only as long as the grants last.
@@ -19,8 +19,8 @@
     pub grant_timeout: Millis,
     /// Timeout of a release call, which is answered when the work on the keys has ended.
     pub release_timeout: Millis,
-    /// Interval between probes of a lost server. Keys granted to a server that still does not answer are
-    /// unserved until they are reassigned, so a server must answer a probe before it receives any.
+    /// Interval between probes of a lost server. Keys granted to a server that still does not answer are unserved
+    /// until they are reassigned, so a server must answer a probe before it receives keys again.
     pub probe_interval: Millis,
     /// Maximum time for which an earlier leader may keep renewing after another one has taken over.
     pub stale_leader_max: Millis,
@@ -45,8 +45,8 @@
     }
 }
 
-/// Drift of a server's clock that is tolerated, in thousandths: clocks may run 2 % slow, so a lease may
-/// last that much longer than granted.
+/// Tolerated drift of a server's clock, in thousandths: clocks may run 2 % slow, so a lease may last that much
+/// longer than granted.
 const CLOCK_DRIFT_PER_MILLE: u64 = 20;
 
 impl KeyTiming {
--- a/crates/chicoryrail-ownership/src/peers.rs
+++ b/crates/chicoryrail-ownership/src/peers.rs
@@ -18,37 +18,37 @@
 /// shares.
 const SHARING_HOSTS_MIN: usize = 8;
 
-/// Maximum age of a host's last heartbeat for the host to count as alive: three heartbeats.
+/// Maximum age of a host's last heartbeat for the host to count as alive: three heartbeat intervals.
 const HEARTBEAT_AGE_MAX: Millis = Millis(1_300);
 
-/// Time for which a host counts by its own heartbeats although the store does not list it yet.
+/// Maximum age of the last heartbeat of a host that the store does not list for the host to be kept.
 const UNLISTED_AGE_MAX: Millis = Millis(3_000);
 
 /// Maximum age of a heartbeat for the reachable data centres and the power in it to count: one and a half
-/// heartbeats.
+/// heartbeat intervals.
 const REACH_AGE_MAX: Millis = Millis(600);
 
-/// Factor by which another host's power must exceed this one's for it to lead instead. Each change of
-/// leader delays key changes for a moment.
+/// Minimum ratio of another host's power to this one's for the other to lead instead. Each change of leader
+/// delays key changes for a moment.
 const SUCCESSOR_POWER_FACTOR: u32 = 2;
 
-/// Maximum age of a host's last heartbeat for the host to count as a scheduler: two and a half heartbeats.
-/// Hosts that send slot queries to a lost scheduler detect the loss much sooner, so this limit matters only
-/// for one that receives no queries.
+/// Maximum age of a host's last heartbeat for the host to count as a scheduler: two and a half heartbeat
+/// intervals. Hosts that send slot queries to a lost scheduler detect the loss much sooner, so this limit matters
+/// only for a scheduler that receives no queries.
 const SCHEDULER_AGE_MAX: Millis = Millis(1_000);
 
 /// State that a host advertises in its heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct HostState {
-    /// Whether the store answers the host.
+    /// Whether the store answers the host's calls.
     pub store_reachable: bool,
     /// Data centres whose servers answer the host.
     pub reachable_dcs: BTreeSet<DcName>,
-    /// CPU capacity for leading and scheduling, in thousandths of a core.
+    /// CPU capacity for leading and scheduling, in thousandths of a CPU.
     pub power: u32,
     /// Whether the host schedules requests for servers; a host that is stopping does not.
     pub schedules: bool,
-    /// Data centre of the host; `None` until it is received.
+    /// Data centre of the host; `None` until it is known from a heartbeat.
     pub dc: Option<DcName>,
     /// Whether the host watches the store itself.
     pub watches: bool,
@@ -69,9 +69,10 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) addr: SocketAddr,
+    /// Time of the last heartbeat; `None` if there was none or the host did not answer a call since.
     pub(crate) last_seen: Option<Millis>,
     pub(crate) state: HostState,
-    /// Time of its last failure to relay the content of the store.
+    /// Time of the host's last failure to relay the content of the store.
     pub(crate) relay_failed_at: Option<Millis>,
 }
 
@@ -99,7 +100,7 @@
     }
 }
 
-/// Other core hosts: those that the store lists, exchange heartbeats, schedule and may lead.
+/// Other core hosts: those that the store lists, and those that it does not list but that send heartbeats.
 #[derive(Debug, Default)]
 pub struct Peers {
     pub(crate) hosts: BTreeMap<HostName, Peer>,
@@ -108,7 +109,7 @@
     /// Highest term of leadership seen so far; `leader` is the leader of that term, if known.
     term: u64,
     pub(crate) leader: Option<HostName>,
-    /// Time of the last heartbeat that the leader itself sent.
+    /// Time of the last heartbeat that a leader itself sent.
     leader_seen: Option<Millis>,
 }
 
@@ -141,16 +142,16 @@
         self.hosts_max = self.hosts_max.max(hosts);
     }
 
-    /// Returns the number of known hosts: the core hosts and the leaf hosts that follow them, `own` of
-    /// which follow this host.
+    /// Returns the number of known hosts: the core hosts including this one, and the leaf hosts that follow them,
+    /// `own_leaf_hosts` of which follow this host.
     #[must_use]
-    pub fn host_count(&self, now: Millis, own: u32) -> usize {
+    pub fn host_count(&self, now: Millis, own_leaf_hosts: u32) -> usize {
         let recent = self
             .hosts
             .values()
             .filter(|p| p.seen_within(now, HEARTBEAT_AGE_MAX));
-        let leaves: u32 = recent.map(|p| p.state.leaf_hosts).sum();
-        self.hosts.len() + 1 + (leaves + own) as usize
+        let leaf_hosts: u32 = recent.map(|p| p.state.leaf_hosts).sum();
+        self.hosts.len() + 1 + (leaf_hosts + own_leaf_hosts) as usize
     }
 
     /// Returns the number of hosts that share a global limit: the highest number ever known, since a host
@@ -166,7 +167,7 @@
         self.hosts.len() + 1
     }
 
-    /// Returns the addresses of the other core hosts.
+    /// Returns the addresses of the other core hosts, whether alive or not.
     #[must_use]
     pub fn addrs(&self) -> Vec<SocketAddr> {
         self.hosts.values().map(|p| p.addr).collect()
@@ -179,9 +180,9 @@
         self.hosts.get(leader).map(|p| p.addr)
     }
 
-    /// Selects the host that schedules the requests for `name`; `own` is this host. If `dc` has strong
-    /// hosts, one of them is selected: it is lost only together with the servers that it schedules for, and
-    /// it is reachable wherever they are.
+    /// Selects the host that schedules the requests for `name`; `own` is this host. If `dc` has strong hosts, one
+    /// of them is selected: such a host is lost only together with the servers that it schedules for, and whoever
+    /// reaches the servers also reaches the host.
     ///
     /// There are thousands of requests a second, and each needs a server; a single scheduling host would
     /// delay all of them. Weighted rendezvous hashing gives each host a share in proportion to its power,
@@ -204,16 +205,19 @@
         let own = (own_name, own_state, SchedulerHost::Here);
         let own = own_state.schedules.then_some(own);
         let scored = others.chain(own).map(|(host, state, scheduler)| {
-            let near = dc.is_some() && state.dc.as_ref() == dc && is_strong(state.power);
-            ((near, rendezvous_score(host, state.power, name)), scheduler)
+            let preferred = dc.is_some() && state.dc.as_ref() == dc && is_strong(state.power);
+            (
+                (preferred, rendezvous_score(host, state.power, name)),
+                scheduler,
+            )
         });
-        let highest = scored.max_by(|((a_near, a), _), ((b_near, b), _)| {
-            a_near.cmp(b_near).then_with(|| a.total_cmp(b))
+        let highest = scored.max_by(|((a_preferred, a), _), ((b_preferred, b), _)| {
+            a_preferred.cmp(b_preferred).then_with(|| a.total_cmp(b))
         });
         highest.map_or(SchedulerHost::Here, |(_, scheduler)| scheduler)
     }
 
-    /// Returns a hash of the hosts that schedule, which changes when one joins, leaves or changes its
+    /// Returns a hash of the other hosts that schedule, which changes when one joins, leaves or changes its
     /// power.
     #[must_use]
     pub fn schedulers_hash(&self, now: Millis) -> u64 {
@@ -230,15 +234,15 @@
         hosts.filter(move |(_, p)| p.state.schedules && p.seen_within(now, SCHEDULER_AGE_MAX))
     }
 
-    /// Records that the host at `addr` did not answer: it counts as lost until its next heartbeat.
+    /// Records that the host at `addr` did not answer: the host counts as lost until its next heartbeat.
     pub fn mark_unreachable(&mut self, addr: SocketAddr) {
         for peer in self.hosts.values_mut().filter(|p| p.addr == addr) {
             peer.last_seen = None;
         }
     }
 
-    /// Records the state that a host at `addr` advertises. It counts even if the store does not list the
-    /// host yet; otherwise hosts that start together would not know each other until the list is next read.
+    /// Records the state that a host at `addr` advertises. The host counts even if the store does not list it
+    /// yet; otherwise hosts that start together would not know each other until the list is next read.
     pub fn record_heartbeat(
         &mut self,
         now: Millis,
@@ -257,12 +261,12 @@
     /// Returns `true` if another host that the store answers reaches `dc` and all of `own_dcs`.
     #[must_use]
     pub fn any_reaches_all(&self, now: Millis, own_dcs: &BTreeSet<DcName>, dc: &DcName) -> bool {
-        let all = |p: &HostState| {
+        let reaches_all = |p: &HostState| {
             p.store_reachable
                 && p.reachable_dcs.contains(dc)
                 && p.reachable_dcs.is_superset(own_dcs)
         };
-        self.recent_states(now).any(all)
+        self.recent_states(now).any(reaches_all)
     }
 
     /// Returns `true` if another host reaches more data centres than there are in `own_dcs`.
@@ -276,19 +280,19 @@
     /// it reaches all of `own_dcs`. A host that reaches fewer data centres would soon have to step down again.
     #[must_use]
     pub fn has_stronger_peer(&self, now: Millis, power: u32, own_dcs: &BTreeSet<DcName>) -> bool {
-        let fit = |p: &HostState| {
+        let can_lead = |p: &HostState| {
             let strong = p.power >= power.saturating_mul(SUCCESSOR_POWER_FACTOR);
             p.store_reachable && strong && p.reachable_dcs.is_superset(own_dcs)
         };
-        self.recent_states(now).any(fit)
+        self.recent_states(now).any(can_lead)
     }
 
     /// Iterates over the states of hosts whose last heartbeat is recent enough for their reachable data
     /// centres to count.
     pub(crate) fn recent_states(&self, now: Millis) -> impl Iterator<Item = &HostState> {
         let hosts = self.hosts.values();
-        let fresh = hosts.filter(move |p| p.seen_within(now, REACH_AGE_MAX));
-        fresh.map(|p| &p.state)
+        let recent = hosts.filter(move |p| p.seen_within(now, REACH_AGE_MAX));
+        recent.map(|p| &p.state)
     }
 
     /// Returns `true` if every other host has a recent heartbeat that reports the store as unavailable. A
@@ -299,18 +303,18 @@
         self.hosts.values().all(lost)
     }
 
-    /// Records a heartbeat that the leader itself sent.
+    /// Records that a leader itself sent a heartbeat.
     pub fn record_leader_seen(&mut self, now: Millis) {
         self.leader_seen = self.leader_seen.max(Some(now));
     }
 
-    /// Returns `true` if a leader's heartbeat is at most `age` old.
+    /// Returns `true` if the last heartbeat that a leader itself sent is at most `age` old.
     #[must_use]
     pub fn leader_seen_within(&self, now: Millis, age: Millis) -> bool {
         self.leader_seen.is_some_and(|at| now.since(at) <= age)
     }
 
-    /// Returns the age of the last leader's heartbeat.
+    /// Returns the age of the last heartbeat that a leader itself sent, if any.
     #[must_use]
     pub fn leader_age(&self, now: Millis) -> Option<Millis> {
         self.leader_seen.map(|at| now.since(at))
@@ -354,8 +358,8 @@
         self.term
     }
 
-    /// Returns `true` if more than half of all core hosts, including this one, have a heartbeat at most
-    /// `age` old.
+    /// Returns `true` if this host and the others with a heartbeat at most `age` old are more than half of all
+    /// core hosts.
     #[must_use]
     pub fn majority_seen_within(&self, now: Millis, age: Millis) -> bool {
         let recent = self.hosts.values().filter(|p| p.seen_within(now, age));
@@ -364,7 +368,7 @@
     }
 }
 
-/// Returns a host's rendezvous score for a name. The probability that a host has the highest score is in
+/// Returns a host's weighted rendezvous score for a name. The probability that a host has the highest score is in
 /// proportion to its power.
 pub(crate) fn rendezvous_score(host: &HostName, power: u32, name: &impl Hash) -> f64 {
     let mut hasher = SipHasher13::new();
--- a/crates/chicoryrail-ownership/src/reach.rs
+++ b/crates/chicoryrail-ownership/src/reach.rs
@@ -12,13 +12,14 @@
 /// a response from each data centre several times within it.
 const RESPONSE_AGE_MAX: Millis = Millis(600);
 
-/// Time for which all servers of a data centre must have left the leader's calls unanswered. Another host's last
-/// heartbeat may report responses from before a loss (up to 600 ms old, with 400 ms until its next
-/// heartbeat). A longer time avoids mistaking a lost data centre for one that only this host can't reach.
+/// Time for which all servers of a data centre must have left the leader's calls unanswered for the data centre
+/// to count as unreachable. When a data centre is lost, another host's last heartbeat may still report responses
+/// from before the loss (up to 600 ms old, with 400 ms until its next heartbeat). So with a shorter time, the
+/// data centre would look like one that only this host can't reach.
 const UNANSWERED_TIME_MIN: Millis = Millis(1_000);
 
-/// Minimum number of servers that do not respond from which a data centre counts as unreachable; a single one
-/// may be faulty itself.
+/// Minimum number of servers in a data centre, none of which responds, for it to count as unreachable; a single
+/// server may be faulty itself.
 const UNANSWERED_SERVERS_MIN: usize = 2;
 
 /// Time of the last response from each data centre.
@@ -46,13 +47,12 @@
         recent.map(|(dc, _)| dc.clone()).collect()
     }
 
-    /// Returns a data centre that this leader can't reach but another host can, if that host also reaches
-    /// all others that this one reaches. That host should lead.
+    /// Returns a data centre that this leader can't reach, if another host reaches it and also all those that
+    /// this leader reaches; that host should lead instead.
     ///
-    /// `servers` are the servers with keys: the data centre of each, and since when it has not responded.
-    /// Packets between two data centres may pass in one direction only. A leader in one of them would
-    /// consider the other's servers lost and reassign their keys, although callers elsewhere can reach
-    /// them.
+    /// `servers` are the servers with keys: the data centre of each, and since when the server has not responded.
+    /// Packets between two data centres may pass in one direction only. A leader in one of them would consider
+    /// the other's servers lost and reassign their keys, although callers elsewhere can reach them.
     #[must_use]
     pub fn find_unreachable_dc<'a>(
         &self,
--- a/crates/chicoryrail-ownership/src/store_key.rs
+++ b/crates/chicoryrail-ownership/src/store_key.rs
@@ -3,13 +3,13 @@
 use chicoryrail_core::HostName;
 use chicoryrail_core::ServiceName;
 
-/// Prefix of the entries that every host follows: the leader and the hosts.
+/// Prefix of the entries that every host follows: the leader entry and the host entries.
 pub const LIVE: &str = "live/";
 
 /// Key of the leader entry. Its value is the leader's name, its revision the term.
 pub const LEADER: &str = "live/leader";
 
-/// Prefix of the host entries. A value is the address for messages from other hosts, with the host's power.
+/// Prefix of the host entries. A value is the host's address for messages from other hosts, and its power.
 pub const HOSTS: &str = "live/hosts/";
 
 /// Prefix of the key records. They need not be watched, since the leader sends each change to the hosts
--- a/crates/chicoryrail-ownership/src/watchers.rs
+++ b/crates/chicoryrail-ownership/src/watchers.rs
@@ -12,9 +12,9 @@
 use crate::peers::Peer;
 use crate::peers::rendezvous_score;
 
-/// Number of hosts that watch the store at the same time. Each change in the store costs a call to each of
-/// them. With two in different data centres, one may be lost with its data centre at any moment; if both
-/// are lost, others take over within a second.
+/// Number of hosts that watch the store at the same time. Each change in the store costs a call to each of them.
+/// Two in different data centres suffice: if one is lost with its data centre, the other still watches, and if
+/// both are lost, others take over within a second.
 const WATCHERS_MAX: usize = 2;
 
 /// Time for which a host that failed to relay is not selected again.
@@ -89,8 +89,9 @@
         }
     }
 
-    /// Selects a relay for a host by weighted rendezvous hashing: preferably one that the store answers,
-    /// then one in the same data centre, then by score.
+    /// Selects a relay for a host: preferably one that the store answers, then one in the same data centre, then
+    /// the one with the highest weighted rendezvous score. Hosts that failed to relay in the last second are left
+    /// out.
     fn select_relay<'a>(
         &self,
         now: Millis,
@@ -104,9 +105,9 @@
         };
         let usable = candidates.filter(|(_, p)| !failed(p));
         let scored = usable.map(|(host, p)| {
-            let near = p.state.dc.as_ref() == Some(dc);
+            let same_dc = p.state.dc.as_ref() == Some(dc);
             let score = rendezvous_score(host, p.state.power, &(RELAY_HASH_TAG, name));
-            ((p.state.store_reachable, near, score), p.addr)
+            ((p.state.store_reachable, same_dc, score), p.addr)
         });
         let best = scored.max_by(|(a, _), (b, _)| {
             let by_class = (a.0, a.1).cmp(&(b.0, b.1));
