--- a/crates/chicoryrail-ownership/tests/key_leases.rs
+++ b/crates/chicoryrail-ownership/tests/key_leases.rs
@@ -20,7 +20,8 @@
     KeyRange { first, last }
 }
 
-/// Returns leases in which `a` holds all keys and half of them are assigned to `b` but not released yet.
+/// Returns leases in which `a` holds all keys, about half of which are assigned to `b` but not released by `a`
+/// yet.
 fn moving_half_to_b() -> KeyLeases {
     let mut leases = KeyLeases::take_over(
         KeyRecord::default(),
@@ -45,6 +46,7 @@
     leases
 }
 
+/// Sends a grant to a server and reports it as granted at once.
 fn confirm_grant(leases: &mut KeyLeases, now: Millis, name: &str, span: KeyRange) {
     let fence = leases.record().fence;
     leases.grant_sent(now, &life(name), span);
@@ -52,19 +54,19 @@
 }
 
 fn grants(actions: &[KeyAction], name: &str) -> Vec<KeyRange> {
-    let of = |d: &KeyAction| match d {
+    let range = |action: &KeyAction| match action {
         KeyAction::Grant { life: l, span, .. } if *l == life(name) => Some(*span),
         _ => None,
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(range).collect()
 }
 
 fn releases(actions: &[KeyAction]) -> Vec<KeyRange> {
-    let of = |d: &KeyAction| match d {
+    let range = |action: &KeyAction| match action {
         KeyAction::Release { span, .. } => Some(*span),
         _ => None,
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(range).collect()
 }
 
 /// Guards against a grant before the former owner's release is answered. The owner keeps the rest of its
@@ -79,13 +81,13 @@
     leases.release_sent(&life("a"), span(30_000, 65_535));
     let second = leases.due_actions(Millis(20));
     assert!(grants(&second, "b").is_empty() && releases(&second).is_empty());
-    let free = ReleaseOutcome::Released(Some("token".to_owned()));
-    leases.release_finished(Millis(30), &life("a"), span(30_000, 65_535), free);
+    let released = ReleaseOutcome::Released(Some("token".to_owned()));
+    leases.release_finished(Millis(30), &life("a"), span(30_000, 65_535), released);
     let third = leases.due_actions(Millis(30));
     assert_eq!(grants(&third, "b"), [span(30_000, 65_535)]);
-    let has_handover = third.iter().any(|d| {
+    let has_handover = third.iter().any(|action| {
         matches!(
-            d,
+            action,
             KeyAction::Grant {
                 handover: Some(_),
                 ..
@@ -138,8 +140,8 @@
     leases.begin_change(vec![OwnedRange::new(KeyRange::ALL, life("a"))], 4);
     leases.record_written(Millis(20));
     assert!(grants(&leases.due_actions(Millis(20)), "a").is_empty());
-    let free = ReleaseOutcome::Released(None);
-    leases.release_finished(Millis(30), &life("a"), span(30_000, 65_535), free);
+    let released = ReleaseOutcome::Released(None);
+    leases.release_finished(Millis(30), &life("a"), span(30_000, 65_535), released);
     assert_eq!(
         grants(&leases.due_actions(Millis(30)), "a"),
         [span(30_000, 65_535)]
@@ -176,13 +178,13 @@
     confirm_grant(&mut leases, Millis(642), "a", span(40_000, 49_999));
     leases.begin_change(spans(44_999), 5);
     leases.record_written(Millis(650));
-    let blocked = leases.ungranted_keys();
+    let ungranted = leases.ungranted_keys();
     assert!(
-        blocked
+        ungranted
             .iter()
             .all(|s| !s.contains(44_999) && !s.contains(5_000))
     );
-    assert!(blocked.iter().any(|s| s.contains(45_000)));
+    assert!(ungranted.iter().any(|s| s.contains(45_000)));
 }
 
 /// The former owner is unreachable. Guards against granting its keys before its lease has certainly
@@ -216,8 +218,8 @@
 fn a_cleaned_record_lists_no_former_owners() {
     let mut leases = moving_half_to_b();
     leases.release_sent(&life("a"), span(30_000, 65_535));
-    let free = ReleaseOutcome::Released(None);
-    leases.release_finished(Millis(30), &life("a"), span(30_000, 65_535), free);
+    let released = ReleaseOutcome::Released(None);
+    leases.release_finished(Millis(30), &life("a"), span(30_000, 65_535), released);
     assert!(leases.has_stale_former_owners());
     let spans = leases.record().spans.clone();
     leases.begin_change(spans, 5);
--- a/crates/chicoryrail-ownership/tests/key_plan.rs
+++ b/crates/chicoryrail-ownership/tests/key_plan.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Returns the load of the busiest server as a multiple of the fair share.
-fn busiest_load(spans: &[OwnedRange], load: &KeyLoad) -> f64 {
+/// Returns the load of the busiest server as a multiple of the mean load of the servers that own keys.
+fn busiest_load_ratio(spans: &[OwnedRange], load: &KeyLoad) -> f64 {
     let mut loads: BTreeMap<&Life, f64> = BTreeMap::new();
     for owned in spans {
         *loads.entry(&owned.owner).or_default() += load.range_load(owned.span);
@@ -74,17 +74,18 @@
             .all(|s| (5_300..5_700).contains(&s.span.len()))
     );
     let load = skewed_load(1);
-    assert!(busiest_load(&uniform, &load) > 4.0);
+    assert!(busiest_load_ratio(&uniform, &load) > 4.0);
     let planned = split_key_space(&candidates(12), &load);
     assert!(covers_all(&planned));
     assert!(
-        busiest_load(&planned, &load) < 1.3,
+        busiest_load_ratio(&planned, &load) < 1.3,
         "{}",
-        busiest_load(&planned, &load)
+        busiest_load_ratio(&planned, &load)
     );
 }
 
-/// Guards against ignoring the weight: a server with half the capacity gets about half the load.
+/// Guards against ignoring the weight: a server with half the capacity gets about half as much load as each other
+/// server.
 #[test]
 fn a_slow_server_gets_less_load() {
     let mut all = candidates(4);
@@ -95,8 +96,8 @@
     assert!((0.10..0.19).contains(&share), "{share}");
 }
 
-/// One key has more load than a server can process, and the other keys are distributed unevenly. Guards
-/// against the overloaded key hiding that imbalance: the other ranges are still rebalanced.
+/// One key has more load than a server can process, and the load of the other keys is distributed unevenly.
+/// Guards against the overloaded key hiding that imbalance: the ranges without it are still rebalanced.
 #[test]
 fn one_overloaded_key_does_not_hide_other_imbalance() {
     let mut load = skewed_load(3);
@@ -106,8 +107,11 @@
     else {
         panic!("the plan keeps the assignment");
     };
-    let others = planned.iter().filter(|s| !s.span.contains(9_000));
-    let most = others.map(|s| load.range_load(s.span)).fold(0.0, f64::max);
+    // The range with the overloaded key keeps that key's load, however the others are balanced.
+    let without_key = planned.iter().filter(|s| !s.span.contains(9_000));
+    let most = without_key
+        .map(|s| load.range_load(s.span))
+        .fold(0.0, f64::max);
     assert!(
         most < load.total() / 12.0 * 1.4,
         "{most} of {}",
@@ -121,28 +125,28 @@
 fn keys_of_lost_servers_are_distributed_to_all() {
     let load = skewed_load(4);
     let before = record(split_key_space(&candidates(12), &load));
-    let left: Vec<_> = candidates(12)
+    let remaining: Vec<_> = candidates(12)
         .into_iter()
-        .filter(|h| !h.life.name.as_str().ends_with("10"))
+        .filter(|c| !c.life.name.as_str().ends_with("10"))
         .collect();
-    let left: Vec<_> = left
+    let remaining: Vec<_> = remaining
         .into_iter()
-        .filter(|h| !h.life.name.as_str().ends_with("09"))
+        .filter(|c| !c.life.name.as_str().ends_with("09"))
         .collect();
-    let Plan::Change(planned) = Plan::compute(&before, &left, &load, Moves::Required) else {
+    let Plan::Change(planned) = Plan::compute(&before, &remaining, &load, Moves::Required) else {
         panic!("the plan keeps the assignment");
     };
     assert!(covers_all(&planned));
     assert!(
-        busiest_load(&planned, &load) < 1.45,
+        busiest_load_ratio(&planned, &load) < 1.45,
         "{}",
-        busiest_load(&planned, &load)
+        busiest_load_ratio(&planned, &load)
     );
 }
 
-/// Guards against moves that follow random variation of an even load.
+/// Guards against moves that follow random variation of a load that the assignment already balances.
 #[test]
-fn an_even_load_moves_nothing() {
+fn random_variation_moves_nothing() {
     let before = record(split_key_space(&candidates(12), &skewed_load(5)));
     for seed in 5..25 {
         let plan = Plan::compute(&before, &candidates(12), &skewed_load(seed), Moves::Balance);
@@ -150,8 +154,8 @@
     }
 }
 
-/// A server joins without observed load. Guards against needless moves: it gets half of one range, and the
-/// other ranges stay.
+/// A server joins while no load has been observed. Guards against needless moves: the server gets half of one
+/// range, and the other ranges stay.
 #[test]
 fn a_new_server_takes_keys_from_one_server_only() {
     let before = record(split_key_space(&candidates(4), &KeyLoad::default()));
@@ -185,14 +189,14 @@
     KeyRange::ALL.len() - after.iter().map(same).sum::<u32>()
 }
 
-/// In a fleet of eighty servers one range becomes busy, a tenth of the servers leave or a tenth join. A new
-/// split of the whole key space would move most keys and delay their requests all at once; only the load
-/// that servers can't process moves.
+/// With eighty servers, each case is one change: a range becomes busy, a tenth of the servers leave, or a tenth
+/// join. Guards against a new split of the whole key space, which would move most keys and delay their requests
+/// all at once: only few keys move.
 #[rstest]
 #[case::a_busy_range(80, 200, 0.15)]
 #[case::servers_leave(72, 0, 0.25)]
-#[case::servers_come(88, 0, 0.25)]
-fn few_keys_move_in_a_large_fleet(
+#[case::servers_join(88, 0, 0.25)]
+fn few_keys_move_in_a_large_installation(
     #[case] servers: usize,
     #[case] busy: u32,
     #[case] max_moved: f64,
@@ -203,6 +207,7 @@
     for i in 0..busy {
         load.record(middle.first + (i % middle.len()) as u16);
     }
+    // The first eighty servers, the same without a tenth of them, or with eight more.
     let mut all = candidates(88);
     if servers < 80 {
         all = (0..80)
@@ -219,9 +224,9 @@
     let share = f64::from(moved_keys(&before, &planned)) / f64::from(KeyRange::ALL.len());
     assert!(share < max_moved, "{share} of all keys move");
     assert!(
-        busiest_load(&planned, &load) < 1.3,
+        busiest_load_ratio(&planned, &load) < 1.3,
         "{}",
-        busiest_load(&planned, &load)
+        busiest_load_ratio(&planned, &load)
     );
 }
 
--- a/crates/chicoryrail-ownership/tests/key_plan_size.rs
+++ b/crates/chicoryrail-ownership/tests/key_plan_size.rs
@@ -27,6 +27,7 @@
     rate: f64,
     /// Fraction of the requests that go to the busy keys, and the range of these keys.
     busy: (f64, std::ops::Range<u16>),
+    /// Time of the last plan that changed the assignment.
     changed_at: Millis,
     /// Number of plans that changed the assignment.
     plans: usize,
@@ -44,7 +45,7 @@
             weight: 2.0 / [0.7, 0.7, 1.6][i % 3],
         });
         let candidates: Vec<KeyCandidate> = candidates.collect();
-        let weight: f64 = candidates.iter().map(|h| h.weight).sum();
+        let weight: f64 = candidates.iter().map(|c| c.weight).sum();
         Self {
             candidates,
             load: KeyLoad::default(),
@@ -97,8 +98,8 @@
                 .map(|s| {
                     let first = s.first.max(self.busy.1.start);
                     let after = (u32::from(s.last) + 1).min(u32::from(self.busy.1.end));
-                    let hot_keys = after.saturating_sub(u32::from(first));
-                    f64::from(s.len()) * even_rate + f64::from(hot_keys) * busy_rate
+                    let busy_keys = after.saturating_sub(u32::from(first));
+                    f64::from(s.len()) * even_rate + f64::from(busy_keys) * busy_rate
                 })
                 .sum();
             (offered - candidate.weight / REQUEST_TIME_S).max(0.0)
--- a/crates/chicoryrail-ownership/tests/model_keys/calls.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/calls.rs
@@ -17,16 +17,21 @@
     pub(crate) leader: usize,
     pub(crate) life: Life,
     pub(crate) kind: CallKind,
+    /// Time of arrival at the server; `u64::MAX` if the server is not reachable.
     pub(crate) arrives_at: u64,
+    /// Time at which the server applies the call.
     pub(crate) applies_at: u64,
     pub(crate) applied: bool,
     pub(crate) refused: bool,
-    /// Time at which the leader learns the outcome; without an answer, the timeout.
+    /// Time at which the leader learns the outcome, by an answer or by the timeout; `u64::MAX` after the outcome
+    /// was reported.
     pub(crate) ends_at: u64,
-    pub(crate) answered: bool,
+    /// Whether the answer reaches the leader if the server runs until then.
+    pub(crate) answer_arrives: bool,
 }
 
 impl World {
+    /// Sends a call, and selects at random how long it takes and whether its answer is lost.
     pub(crate) fn send(&mut self, leader: usize, life: Life, kind: CallKind, timeout_ms: u64) {
         let reachable = self.servers.iter().any(|s| s.life == life && s.reachable);
         let arrives_at = self.now + self.rng.random_range(0..30);
@@ -38,9 +43,9 @@
             } else {
                 0
             };
-        let answered = reachable && !delayed && self.rng.random_bool(0.95);
+        let answer_arrives = reachable && !delayed && self.rng.random_bool(0.95);
         let answered_at = applies_at + self.rng.random_range(0..30);
-        let ends_at = if answered {
+        let ends_at = if answer_arrives {
             answered_at
         } else {
             self.now + timeout_ms
@@ -54,11 +59,12 @@
             applied: false,
             refused: false,
             ends_at,
-            answered,
+            answer_arrives,
         });
     }
 
-    pub(crate) fn deliver(&mut self) {
+    /// Applies the calls that are due at their servers, and reports the outcomes that are due to the leaders.
+    pub(crate) fn process_calls(&mut self) {
         let now = self.now;
         let mut calls = std::mem::take(&mut self.calls);
         for call in &mut calls {
@@ -83,6 +89,7 @@
         for call in calls.iter().filter(|c| c.ends_at <= now) {
             self.report_outcome(call);
         }
+        // Keeps calls that may still be applied after their outcome was reported.
         calls.retain(|c| c.ends_at > now || (!c.applied && c.arrives_at != u64::MAX));
         calls.iter_mut().for_each(|c| {
             if c.ends_at <= now {
@@ -96,24 +103,25 @@
     pub(crate) fn report_outcome(&mut self, call: &Call) {
         let now = Millis(self.now);
         let up = self.servers.iter().any(|s| s.life == call.life && s.up);
-        let answered = call.answered && up;
+        // A server that has stopped sends no answer.
+        let answered = call.answer_arrives && up;
         let leases = &mut self.leaders[call.leader].leases;
         match call.kind {
             CallKind::Grant { span, fence, .. } => {
-                let end = match (answered, call.refused) {
+                let outcome = match (answered, call.refused) {
                     (false, _) => GrantOutcome::NoAnswer,
                     (true, true) => GrantOutcome::StaleFence,
                     (true, false) => GrantOutcome::Granted,
                 };
-                leases.grant_finished(now, &call.life, span, fence, end);
+                leases.grant_finished(now, &call.life, span, fence, outcome);
             }
             CallKind::Release { span, .. } => {
-                let end = if answered {
+                let outcome = if answered {
                     ReleaseOutcome::Released(Some("token".to_owned()))
                 } else {
                     ReleaseOutcome::NoAnswer
                 };
-                leases.release_finished(now, &call.life, span, end);
+                leases.release_finished(now, &call.life, span, outcome);
             }
         }
     }
--- a/crates/chicoryrail-ownership/tests/model_keys/leading.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/leading.rs
@@ -13,6 +13,7 @@
 use crate::world::faults_active;
 
 impl World {
+    /// Lets each leader that acts now plan, and perform the actions that are due.
     pub(crate) fn lead(&mut self) {
         let now = Millis(self.now);
         for i in 0..self.leaders.len() {
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Performs an action of a leader: writes to the store or sends a call.
     pub(crate) fn execute(&mut self, leader: usize, action: KeyAction) {
         let now = Millis(self.now);
         match action {
--- a/crates/chicoryrail-ownership/tests/model_keys/main.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/main.rs
@@ -2,8 +2,8 @@
 //! or lose the store while it answers others; servers that die, restart under their names, leave and join;
 //! calls that arrive late, are applied late or lose their answers.
 //!
-//! After every step of 10 ms, the simulation checks that no two servers hold the same key, based on the
-//! state of the servers and not on what a leader assumes.
+//! After every step of 10 ms, the simulation checks that no two servers hold the same key, by the state of the
+//! servers and not by what a leader assumes.
 
 mod calls;
 mod leading;
@@ -23,6 +23,7 @@
 use world::STEP_MS;
 use world::World;
 
+/// Returns the number of runs in which two servers hold one key, while the leaders assume `assumed_timing`.
 fn violations(seeds: std::ops::Range<u64>, assumed_timing: KeyTiming) -> usize {
     let runs = seeds.map(|seed| World::new(seed, KeyTiming::default(), assumed_timing).run());
     runs.filter(|w| !w.violations.is_empty()).count()
@@ -69,7 +70,7 @@
     assert!(violations(0..200, assumed_timing) > 0);
 }
 
-/// Guards against a check that misses a lost record: the new leader starts again with fences that were
+/// Guards against a check that misses a lost record: the new leader starts again with fencing tokens that were
 /// already used, so two servers hold one key.
 #[test]
 fn a_lost_record_is_detected() {
@@ -78,7 +79,7 @@
         world.elect();
         for _ in 0..300 {
             world.now += STEP_MS;
-            world.deliver();
+            world.process_calls();
             world.lead();
         }
         world.record = KeyRecord::default();
@@ -86,7 +87,7 @@
         world.elect();
         for _ in 0..300 {
             world.now += STEP_MS;
-            world.deliver();
+            world.process_calls();
             world.lead();
             world.check();
         }
--- a/crates/chicoryrail-ownership/tests/model_keys/server.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/server.rs
@@ -10,17 +10,22 @@
 /// A server's state of one key.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KeyState {
+    /// Highest fencing token that the server has accepted for the key.
     pub(crate) fence: u64,
+    /// End of the server's lease on the key; 0 if it does not hold the key.
     pub(crate) until: u64,
 }
 
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) life: Life,
+    /// Whether the server runs.
     pub(crate) up: bool,
+    /// Whether the server is draining: it gets no new keys.
     pub(crate) leaving: bool,
     /// Whether leaders can reach the server.
     pub(crate) reachable: bool,
+    /// State of each sampled key.
     pub(crate) keys: Vec<KeyState>,
 }
 
@@ -50,7 +55,7 @@
     let in_span = |i: &usize| span.contains(sampled_key(*i));
     let samples: Vec<_> = (0..SAMPLE_COUNT).filter(in_span).collect();
     let CallKind::Grant { lease, .. } = kind else {
-        // A release is never refused, and its fence blocks older grants.
+        // A release is never refused, and its fencing token blocks older grants.
         for i in samples {
             server.keys[i].until = 0;
             server.keys[i].fence = server.keys[i].fence.max(fence);
--- a/crates/chicoryrail-ownership/tests/model_keys/world.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/world.rs
@@ -19,30 +19,34 @@
 pub(crate) const STEP_MS: u64 = 10;
 pub(crate) const RUN_MS: u64 = 70_000;
 
+/// Simulated leader: the latest one, or one that has been replaced and may still act.
 pub(crate) struct Leader {
     pub(crate) leases: KeyLeases,
-    /// Time at which it stops acting because it has been replaced; the maximum for the latest leader.
+    /// Time until which the leader acts after it has been replaced; `u64::MAX` for the latest leader.
     pub(crate) acts_until: u64,
+    /// Revision of the record that the leader read or wrote last.
     pub(crate) revision: u64,
-    /// Time until which its process is paused: it neither acts nor learns the outcome of its calls.
+    /// Time until which the leader's process is paused: it neither acts nor learns the outcome of its calls.
     pub(crate) paused_until: u64,
-    /// Time until which the store does not answer it, although it answers others.
+    /// Time until which the store does not answer the leader, although it answers others.
     pub(crate) store_lost_until: u64,
 }
 
 pub(crate) struct World {
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: u64,
-    /// Actual timing of grants and calls, and the timing that the leaders assume.
+    /// Actual timing of grants and calls.
     pub(crate) actual_timing: KeyTiming,
+    /// Timing that the leaders assume.
     pub(crate) assumed_timing: KeyTiming,
     pub(crate) servers: Vec<Server>,
     pub(crate) leaders: Vec<Leader>,
     pub(crate) calls: Vec<Call>,
+    /// Key record in the store, and its revision.
     pub(crate) record: KeyRecord,
     pub(crate) revision: u64,
     pub(crate) violations: Vec<String>,
-    /// Whether the store is down: no election and no write. Every leader knows it.
+    /// Whether the store is down: no leader is elected and no write succeeds. Every leader knows that it is down.
     pub(crate) store_down: bool,
     /// Time until which a new leader must assume grants with the duration for an outage.
     pub(crate) outage_until: u64,
@@ -78,6 +82,7 @@
         world
     }
 
+    /// Adds a server, a new incarnation if there was one of this name before.
     pub(crate) fn join(&mut self, name: &str) {
         self.last_incarnation += 1;
         self.servers.push(Server {
@@ -89,8 +94,8 @@
         });
     }
 
-    /// Elects a new leader. The previous one keeps acting for as long as a leader may that has not noticed
-    /// it.
+    /// Elects a new leader. The previous one keeps acting for a random time, at most as long as a leader may act
+    /// without noticing that it has been replaced.
     pub(crate) fn elect(&mut self) {
         if let Some(old) = self.leaders.last_mut() {
             let overlap = self
@@ -117,13 +122,14 @@
         });
     }
 
+    /// Injects a random fault, ends one, or does neither.
     pub(crate) fn inject_fault(&mut self) {
         let n = self.servers.len();
         let at = self.rng.random_range(0..n);
         match self.rng.random_range(0..1_000) {
             0..4 if !self.store_down => self.elect(),
             4..8 => self.servers[at].up = false,
-            // Restarts the server under its name; it has lost the keys that it held.
+            // Restarts a stopped server under its name, without the keys that it held.
             8..14 if !self.servers[at].up => {
                 let name = self.servers[at].life.name.clone();
                 self.servers.remove(at);
@@ -147,15 +153,15 @@
             }
             _ => {}
         }
-        // Keep at least two servers available.
+        // Keeps at least two servers available.
         if self.servers.iter().filter(|s| s.up && !s.leaving).count() < 2 {
             let name = format!("n{}", self.last_incarnation);
             self.join(&name);
         }
     }
 
-    /// Pauses the latest leader's process. If the pause exceeds its store lease, it is replaced meanwhile
-    /// and keeps acting after it resumes until it notices.
+    /// Pauses the latest leader's process. If the pause exceeds its store lease, the leader is replaced
+    /// meanwhile, and after it resumes it acts until it notices that.
     pub(crate) fn pause_leader(&mut self) {
         let pause_ms = self.rng.random_range(100..5_000);
         let until = self.now + pause_ms;
@@ -167,6 +173,7 @@
         }
     }
 
+    /// Records a violation for each sampled key that more than one server holds.
     pub(crate) fn check(&mut self) {
         for i in 0..SAMPLE_COUNT {
             let owners = self
@@ -184,6 +191,7 @@
         }
     }
 
+    /// Runs the simulation until its end or the first violation.
     pub(crate) fn run(mut self) -> Self {
         self.elect();
         while self.now < RUN_MS && self.violations.is_empty() {
@@ -196,7 +204,7 @@
             if self.store_down {
                 self.outage_until = self.now + 12_000;
             }
-            self.deliver();
+            self.process_calls();
             self.lead();
             self.check();
         }
--- a/crates/chicoryrail-ownership/tests/peers.rs
+++ b/crates/chicoryrail-ownership/tests/peers.rs
@@ -40,9 +40,9 @@
     }
 }
 
-/// The leader has a tenth of a core, but scheduling for all requests needs two tenths, so the requests of
-/// all hosts wait past their deadlines. A live host with half a core that the store answers should lead;
-/// one that is only slightly more powerful is not worth a change.
+/// The leader has a tenth of a CPU, but scheduling all requests needs two tenths, so the requests of all hosts
+/// wait past their deadlines. A live host with half a CPU that the store answers should lead; one with less than
+/// twice the leader's power is not worth a change.
 #[test]
 fn a_much_more_powerful_host_should_lead() {
     let mut peers = peers(3);
@@ -69,8 +69,8 @@
     assert!(!peers.has_stronger_peer(Millis(1_000), 100, &own_dcs));
 }
 
-/// A leader without the store may continue only while it sees most hosts. Guards against two leaders: if
-/// half of them are silent, they may have elected another one.
+/// A leader without the store may continue only while it sees most hosts. Guards against two leaders: if half of
+/// the hosts are unreachable, they may have elected another one.
 #[test]
 fn leading_without_the_store_needs_a_majority() {
     let mut peers = peers(9);
@@ -83,7 +83,7 @@
     assert!(!peers.majority_seen_within(Millis(1_600), Millis(500)));
 }
 
-/// Guards against a former leader that keeps sending its old term: it does not replace the newer one.
+/// Guards against a former leader that keeps sending its old term: that leader does not replace the newer one.
 #[test]
 fn terms_never_go_back() {
     let mut peers = peers(3);
@@ -95,9 +95,9 @@
     assert_eq!(peers.leader_addr(), None);
 }
 
-/// A slot query to the leader timed out although its heartbeats arrive, so its scheduler is still working
-/// and distributing the capacity of servers that are warming up. Guards against a host using its own share
-/// before the leader has been silent for long.
+/// A slot query to the leader timed out although its heartbeats arrive, so its scheduler still works and
+/// distributes the capacity of servers that are warming up. Guards against a host that uses its own share before
+/// the leader's heartbeats have been missing for long.
 #[test]
 fn a_leader_seen_recently_is_working() {
     let mut peers = peers(3);
@@ -111,7 +111,7 @@
 /// the data centre has lost its strong hosts or never had any: a host of another data centre schedules for
 /// them.
 #[test]
-fn a_host_near_the_servers_schedules_for_them() {
+fn a_strong_host_of_the_data_centre_schedules() {
     let now = Millis(1_000);
     let state = |dc: &str, power| HostState {
         dc: Some(dc.into()),
@@ -133,7 +133,7 @@
     assert!((0..50).all(|n| at(&peers, "east", n) != SchedulerHost::At(addr(0))));
 }
 
-/// Guards against exceeding a global limit after hosts disappear: it stays shared among the highest number
+/// Guards against exceeding a global limit after hosts disappear: the limit stays shared among the highest number
 /// of hosts ever known, since a host without heartbeats may still send requests.
 #[test]
 fn limits_are_shared_among_all_hosts_ever_known() {
@@ -144,8 +144,8 @@
     assert_eq!(Peers::default().sharing_hosts(), 8);
 }
 
-/// Guards against the longer grants for a store outage while one host may still reach the store: a host
-/// that reports it as available or has no recent heartbeat may lead by now.
+/// Guards against the longer grants for a store outage while one host may still reach the store: a host that
+/// reports the store as available or has no recent heartbeat may lead by now.
 #[test]
 fn an_outage_must_be_reported_by_all() {
     let mut peers = peers(3);
--- a/crates/chicoryrail-ownership/tests/reach.rs
+++ b/crates/chicoryrail-ownership/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Choice of the leader while some data centres can't reach each other.
+//! Selection of the leader while some data centres can't reach each other.
 
 use std::collections::BTreeSet;
 
@@ -21,6 +21,7 @@
     peers_with(seen_ms, reaches, true)
 }
 
+/// As `peers`; `store` is `true` if the store answers the other host.
 fn peers_with(seen_ms: u64, reaches: &str, store: bool) -> Peers {
     let host = HostName::new("other");
     let mut peers = Peers::default();
@@ -36,19 +37,19 @@
 }
 
 /// The leader in west gets no response from east's servers, since packets pass in one direction only. Guards
-/// against it reassigning their keys although most callers reach them: a host in a third data centre that
-/// reaches all of them should lead.
+/// against a leader that reassigns their keys although most callers reach them: a host in a third data centre
+/// that reaches all of them should lead.
 #[rstest]
 #[case::another_reaches_all(9_900, "west east north", 1_200, 2, true)]
 #[case::the_other_reaches_less(9_900, "east", 1_200, 2, false)]
-#[case::nobody_reaches_it(9_900, "west north", 1_200, 2, false)]
+#[case::no_host_reaches_it(9_900, "west north", 1_200, 2, false)]
 #[case::its_state_is_outdated(9_000, "west east north", 1_200, 2, false)]
-#[case::silent_only_briefly(9_900, "west east north", 700, 2, false)]
-#[case::one_server_alone(9_900, "west east north", 1_200, 1, false)]
+#[case::unanswered_only_briefly(9_900, "west east north", 700, 2, false)]
+#[case::a_single_server(9_900, "west east north", 1_200, 1, false)]
 fn a_leader_steps_down_for_one_that_reaches_more(
     #[case] seen_ms: u64,
     #[case] reaches: &str,
-    #[case] silent_ms: u64,
+    #[case] unanswered_ms: u64,
     #[case] servers: usize,
     #[case] expected: bool,
 ) {
@@ -57,14 +58,14 @@
     reach.record_response(Millis(9_700), &"north".into());
     reach.record_response(Millis(8_500), &"east".into());
     let (east, west) = (DcName::new("east"), DcName::new("west"));
-    let since = Some(Millis(NOW.0 - silent_ms));
+    let since = Some(Millis(NOW.0 - unanswered_ms));
     let lost = std::iter::repeat_n((&east, since), servers);
     let all = lost.chain([(&west, None), (&west, None)]);
     let found = reach.find_unreachable_dc(NOW, all, &peers(seen_ms, reaches));
     assert_eq!(found.is_some(), expected);
 }
 
-/// Guards against choosing a host that reaches every data centre but not the store: it could not lead.
+/// Guards against choosing a host that reaches every data centre but not the store: such a host could not lead.
 #[test]
 fn a_host_without_the_store_is_no_better_leader() {
     let mut reach = DcReachability::default();
@@ -79,7 +80,7 @@
 
 /// Guards against treating a data centre as unreachable while one of its servers responds.
 #[test]
-fn a_data_centre_with_one_answer_is_reached() {
+fn a_data_centre_with_one_response_is_reachable() {
     let reach = DcReachability::default();
     let east = DcName::new("east");
     let since = Some(Millis(NOW.0 - 2_000));
@@ -91,6 +92,8 @@
     );
 }
 
+/// Guards against a host that does not notice that another one reaches more data centres, and against using an
+/// outdated heartbeat for it.
 #[test]
 fn a_host_that_reaches_less_than_another_detects_it() {
     let peers = peers(9_900, "west east");
--- a/crates/chicoryrail-ownership/tests/watchers.rs
+++ b/crates/chicoryrail-ownership/tests/watchers.rs
@@ -13,13 +13,13 @@
 
 const NOW: Millis = Millis(10_000);
 
-/// Core hosts in three data centres: `h00` in `dc0`, `h01` in `dc1` and so on.
-struct Fleet {
+/// Core hosts in three data centres: `h00` in `dc0`, `h01` in `dc1` and so on; `h03` is in `dc0` again.
+struct CoreHosts {
     hosts: Vec<(HostName, HostState)>,
 }
 
-impl Fleet {
-    fn of(hosts: usize) -> Self {
+impl CoreHosts {
+    fn new(hosts: usize) -> Self {
         let hosts = (0..hosts).map(|i| {
             let state = HostState {
                 store_reachable: true,
@@ -35,23 +35,23 @@
         }
     }
 
-    /// Returns the peer table of a host that receives heartbeats from all others except `silent`.
-    fn peers_of(&self, own: usize, silent: &[usize]) -> Peers {
+    /// Returns the peer table of a host that receives heartbeats from all others except `unreachable`.
+    fn peers_of(&self, own: usize, unreachable: &[usize]) -> Peers {
         let mut peers = Peers::default();
         for (i, (name, state)) in self.hosts.iter().enumerate() {
-            if i != own && !silent.contains(&i) {
+            if i != own && !unreachable.contains(&i) {
                 peers.record_heartbeat(NOW, name, addr(i), state.clone());
             }
         }
         peers
     }
 
-    /// Returns the hosts that watch the store while nobody receives heartbeats from `silent`.
-    fn watchers(&self, silent: &[usize]) -> Vec<usize> {
-        let alive = (0..self.hosts.len()).filter(|i| !silent.contains(i));
+    /// Returns the hosts that watch the store while no host receives heartbeats from `unreachable`.
+    fn watchers(&self, unreachable: &[usize]) -> Vec<usize> {
+        let alive = (0..self.hosts.len()).filter(|i| !unreachable.contains(i));
         let watches = |i: &usize| {
             let (name, state) = &self.hosts[*i];
-            let peers = self.peers_of(*i, silent);
+            let peers = self.peers_of(*i, unreachable);
             peers.should_watch(NOW, (name, state))
         };
         alive.filter(watches).collect()
@@ -66,30 +66,30 @@
     ([10, 0, 0, i as u8], 7_200).into()
 }
 
-/// Guards against every host watching the store, which would cost a call per host for each change: two
-/// hosts in different data centres watch, whatever the size of the fleet.
+/// Guards against every host watching the store, which would cost a call per host for each change: two hosts in
+/// different data centres watch, however many hosts there are.
 #[rstest]
 #[case::few(3)]
 #[case::ten(10)]
 #[case::many(24)]
 fn two_hosts_of_different_data_centres_watch(#[case] hosts: usize) {
-    let watchers = Fleet::of(hosts).watchers(&[]);
+    let watchers = CoreHosts::new(hosts).watchers(&[]);
     let mut dcs: Vec<DcName> = watchers.iter().map(|i| dc(*i)).collect();
     dcs.sort();
     dcs.dedup();
     assert_eq!((watchers.len(), dcs.len()), (2, 2));
 }
 
-/// A watcher is lost, alone or with its whole data centre. Guards against stale data: once its heartbeats
-/// stop, another host watches instead.
+/// A watcher is lost, by itself or with its whole data centre. Guards against stale data: once the watcher's
+/// heartbeats stop, another host watches instead.
 #[test]
 fn another_host_watches_in_place_of_a_lost_one() {
-    let fleet = Fleet::of(9);
-    let before = fleet.watchers(&[]);
-    let one = fleet.watchers(&before[..1]);
+    let core_hosts = CoreHosts::new(9);
+    let before = core_hosts.watchers(&[]);
+    let one = core_hosts.watchers(&before[..1]);
     assert_eq!(one.len(), 2);
     let lost: Vec<usize> = (0..9).filter(|i| dc(*i) == dc(before[0])).collect();
-    let after = fleet.watchers(&lost);
+    let after = core_hosts.watchers(&lost);
     assert_eq!(after.len(), 2);
     assert!(after.iter().all(|i| !lost.contains(i)));
 }
@@ -98,37 +98,37 @@
 /// the previous watchers keep trying.
 #[test]
 fn hosts_without_the_store_do_not_watch() {
-    let mut fleet = Fleet::of(9);
-    let before = fleet.watchers(&[]);
+    let mut core_hosts = CoreHosts::new(9);
+    let before = core_hosts.watchers(&[]);
     for i in &before {
-        fleet.hosts[*i].1.store_reachable = false;
+        core_hosts.hosts[*i].1.store_reachable = false;
     }
-    let after = fleet.watchers(&[]);
+    let after = core_hosts.watchers(&[]);
     assert_eq!(after.len(), 2);
     assert!(after.iter().all(|i| !before.contains(i)));
-    for (_, state) in &mut fleet.hosts {
+    for (_, state) in &mut core_hosts.hosts {
         state.store_reachable = false;
     }
-    assert_eq!(fleet.watchers(&[]), before);
+    assert_eq!(core_hosts.watchers(&[]), before);
 }
 
-/// Guards against a leader with outdated knowledge of the servers: it watches the store itself, whatever
-/// its name.
+/// Guards against a leader with outdated knowledge of the servers: the leader watches the store itself, even if
+/// other hosts would be selected before it by name.
 #[test]
 fn the_leader_watches() {
-    let fleet = Fleet::of(9);
-    let (name, state) = &fleet.hosts[8];
-    let mut peers = fleet.peers_of(8, &[]);
+    let core_hosts = CoreHosts::new(9);
+    let (name, state) = &core_hosts.hosts[8];
+    let mut peers = core_hosts.peers_of(8, &[]);
     assert!(!peers.should_watch(NOW, (name, state)));
     peers.observe_term(7, Some(name));
     assert!(peers.should_watch(NOW, (name, state)));
 }
 
-/// A leaf host follows a core host of its own data centre, and one elsewhere only if all of those fail.
+/// A leaf host follows a core host of its own data centre, and one elsewhere only if all of these have failed.
 #[test]
-fn a_leaf_host_follows_a_near_core_host() {
-    let fleet = Fleet::of(9);
-    let mut peers = fleet.peers_of(9, &[]);
+fn a_leaf_host_follows_a_core_host_of_its_data_centre() {
+    let core_hosts = CoreHosts::new(9);
+    let mut peers = core_hosts.peers_of(9, &[]);
     let leaf = HostName::new("leaf");
     for _ in 0..3 {
         let relay = peers.select_core_host(NOW, &leaf, &dc(1)).unwrap();
@@ -140,7 +140,7 @@
 }
 
 /// At its start a leaf host knows the core hosts only from the store and has no heartbeats. Guards against
-/// finding nobody to follow: it selects one of the listed hosts.
+/// finding none to follow: the leaf host selects one of the listed hosts.
 #[test]
 fn a_starting_leaf_host_follows_a_listed_core_host() {
     let mut peers = Peers::default();
