--- a/crates/chicoryrail-ownership/src/keys/key_leases.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_leases.rs
@@ -336,8 +336,8 @@
             }
             ReleaseOutcome::WrongServer => self.server_ended(&life.clone()),
             ReleaseOutcome::NoAnswer => {
-                // The leases of a server that keeps other keys must be renewed on time; probes of a server without
-                // keys, and grants to it, can wait.
+                // The leases of a server that keeps other keys must be renewed on time; probes of a server
+                // without keys, and grants to it, can wait.
                 if state.assigned.is_empty() {
                     state.retry_at = now + self.timing.probe_interval;
                 }
--- a/crates/chicoryrail-ownership/src/peers.rs
+++ b/crates/chicoryrail-ownership/src/peers.rs
@@ -13,15 +13,15 @@
 
 use crate::is_strong;
 
-/// Minimum number of hosts assumed to share global limits, such as those on retries and on requests to
-/// servers that are warming up. It keeps a host that starts before it knows the others from using their
-/// shares.
+/// Minimum number of hosts assumed to share global limits, such as those on retries and on requests to servers
+/// that are warming up. Without it, a host that has just started and does not know the others would use their
+/// shares too.
 const SHARING_HOSTS_MIN: usize = 8;
 
 /// Maximum age of a host's last heartbeat for the host to count as alive: three heartbeat intervals.
 const HEARTBEAT_AGE_MAX: Millis = Millis(1_300);
 
-/// Maximum age of the last heartbeat of a host that the store does not list for the host to be kept.
+/// Maximum age of a host's last heartbeat for the host to be kept although the store does not list it.
 const UNLISTED_AGE_MAX: Millis = Millis(3_000);
 
 /// Maximum age of a heartbeat for the reachable data centres and the power in it to count: one and a half
@@ -154,8 +154,8 @@
         self.hosts.len() + 1 + (leaf_hosts + own_leaf_hosts) as usize
     }
 
-    /// Returns the number of hosts that share a global limit: the highest number ever known, since a host
-    /// without heartbeats may still send requests.
+    /// Returns the number of hosts that share a global limit: the highest number ever known, since a host without
+    /// heartbeats may still send requests, but at least `SHARING_HOSTS_MIN`.
     #[must_use]
     pub fn sharing_hosts(&self) -> usize {
         self.hosts_max.max(SHARING_HOSTS_MIN)
@@ -173,7 +173,7 @@
         self.hosts.values().map(|p| p.addr).collect()
     }
 
-    /// Returns the address of the leader if it is another host.
+    /// Returns the address of the leader, if the leader is known and is another host.
     #[must_use]
     pub fn leader_addr(&self) -> Option<SocketAddr> {
         let leader = self.leader.as_ref()?;
@@ -184,11 +184,11 @@
     /// of them is selected: such a host is lost only together with the servers that it schedules for, and whoever
     /// reaches the servers also reaches the host.
     ///
-    /// There are thousands of requests a second, and each needs a server; a single scheduling host would
-    /// delay all of them. Weighted rendezvous hashing gives each host a share in proportion to its power,
-    /// and a host that joins or leaves moves only its own share. Hosts agree as far as they see the same
-    /// other hosts. While they do not, a server has two schedulers, and its own queue absorbs the excess
-    /// requests.
+    /// There are thousands of requests a second, and each needs a server; a single scheduling host would delay
+    /// all of them. Weighted rendezvous hashing gives each host a share in proportion to its power, and a host
+    /// that joins or leaves moves only its own share. Hosts agree as far as they see the same other hosts. While
+    /// they do not, a server has two schedulers, and its own queue absorbs the excess requests. If no host
+    /// schedules, this one does.
     #[must_use]
     pub fn scheduler(
         &self,
@@ -276,8 +276,8 @@
             .any(|p| p.reachable_dcs.len() > own_dcs.len())
     }
 
-    /// Returns `true` if a host much more powerful than `power` should lead: the store answers it and
-    /// it reaches all of `own_dcs`. A host that reaches fewer data centres would soon have to step down again.
+    /// Returns `true` if another host should lead: one with at least twice `power` that the store answers and
+    /// that reaches all of `own_dcs`. A host that reaches fewer data centres would soon have to step down again.
     #[must_use]
     pub fn has_stronger_peer(&self, now: Millis, power: u32, own_dcs: &BTreeSet<DcName>) -> bool {
         let can_lead = |p: &HostState| {
--- a/crates/chicoryrail-ownership/src/reach.rs
+++ b/crates/chicoryrail-ownership/src/reach.rs
@@ -8,8 +8,8 @@
 
 use crate::Peers;
 
-/// Maximum age of a server's last response for its data centre to count as reached. Hosts of a usual size get
-/// a response from each data centre several times within it.
+/// Maximum age of a server's last response for its data centre to count as reachable. Hosts of a usual size get a
+/// response from each data centre several times within this time.
 const RESPONSE_AGE_MAX: Millis = Millis(600);
 
 /// Time for which all servers of a data centre must have left the leader's calls unanswered for the data centre
