--- a/crates/chicoryrail-ownership/src/keys/key_leases.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_leases.rs
@@ -291,8 +291,8 @@
                 }
             }
             GrantOutcome::StaleFence => self.deposed = true,
-            GrantOutcome::WrongServer => self.server_ended(&life.clone()),
-            GrantOutcome::NoAnswer => {
+            GrantOutcome::OtherServer => self.server_ended(&life.clone()),
+            GrantOutcome::NoResponse => {
                 state.lease_until = state.lease_until.max(now + max_lease);
                 state.retry_at = retry_at;
                 state.unanswered_since.get_or_insert(now);
@@ -334,8 +334,8 @@
                 self.former_leases.retain(|l| !released(l));
                 self.released_keys.push(ReleasedKeys { span, handover });
             }
-            ReleaseOutcome::WrongServer => self.server_ended(&life.clone()),
-            ReleaseOutcome::NoAnswer => {
+            ReleaseOutcome::OtherServer => self.server_ended(&life.clone()),
+            ReleaseOutcome::NoResponse => {
                 // The leases of a server that keeps other keys must be renewed on time; probes of a server
                 // without keys, and grants to it, can wait.
                 if state.assigned.is_empty() {
--- a/crates/chicoryrail-ownership/tests/model_keys/calls.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/calls.rs
@@ -109,7 +109,7 @@
         match call.kind {
             CallKind::Grant { span, fence, .. } => {
                 let outcome = match (answered, call.refused) {
-                    (false, _) => GrantOutcome::NoAnswer,
+                    (false, _) => GrantOutcome::NoResponse,
                     (true, true) => GrantOutcome::StaleFence,
                     (true, false) => GrantOutcome::Granted,
                 };
@@ -119,7 +119,7 @@
                 let outcome = if answered {
                     ReleaseOutcome::Released(Some("token".to_owned()))
                 } else {
-                    ReleaseOutcome::NoAnswer
+                    ReleaseOutcome::NoResponse
                 };
                 leases.release_finished(now, &call.life, span, outcome);
             }
--- a/crates/chicoryrail-router/src/state/apply.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -94,9 +94,9 @@
                 self.quota.set(site);
             }
             let mut limits = self.limits.get();
-            limits.head = site.limits.head;
-            limits.head_time = site.limits.head_time;
-            limits.idle = site.limits.idle;
+            limits.max_head_bytes = site.limits.max_head;
+            limits.head_timeout = site.limits.head_timeout;
+            limits.idle_timeout = site.limits.idle_timeout;
             self.limits.set(limits);
         }
         let mut present: HashMap<ServiceName, Vec<Life>> = HashMap::new();
@@ -113,7 +113,7 @@
                 let keep = lives.contains(life);
                 if !keep {
                     target.admission.set(Admission::Closed);
-                    target.pool.clear();
+                    target.pool.close_idle();
                     service.loads.borrow_mut().remove(target.id);
                 }
                 keep
@@ -156,24 +156,24 @@
             }
         };
         // A server can start to warm up again at any time without a restart.
-        target.extend_warmup(entry.updated, member.cold);
+        target.extend_warmup(entry.updated, member.warmup_left);
         target.slots.set(member.slots);
         service.loads.borrow_mut().set(target.id, member.slots);
         let spec = view.site().and_then(|s| s.service(&service.name));
         service.keyed.set(spec.is_some_and(|s| s.keyed));
-        let connections = spec.map_or(u32::MAX, |s| s.connections);
+        let connections = spec.map_or(u32::MAX, |s| s.max_connections);
         let share = connections / self.peers.borrow().sharing_hosts() as u32;
-        target.pool.set_cap(member.slots, share.max(2));
-        let admission = if view.is_taken_out(&member.dc) {
+        target.pool.set_max_connections(member.slots, share.max(2));
+        let admission = if view.is_drained(&member.dc) {
             Admission::Closed
         } else if entry.is_ready() && entry.missing.is_none() {
             Admission::Open
         } else {
             let since = entry.missing.unwrap_or(entry.since);
-            Admission::Draining(drain_end(since, self.boot().bounds.drain))
+            Admission::Draining(drain_end(since, self.boot().bounds.drain_timeout))
         };
         if admission == Admission::Closed || !entry.is_ready() {
-            target.pool.clear();
+            target.pool.close_idle();
         }
         target.admission.set(admission);
     }
@@ -181,12 +181,12 @@
     fn log(&self, change: &ViewChange) {
         let revision = self.view.borrow().revision();
         match change {
-            ViewChange::Config { from, to, unknown } => {
+            ViewChange::Config { from, to, invalid } => {
                 let invariants = &self.process.invariants;
-                invariants.rises(Invariant::ConfigForward, from, to);
+                invariants.check_increases(Invariant::ConfigForward, from, to);
                 log::info!(from = from, version = to, revision = revision; "config_in_force");
-                self.counters.unknown_words.inc_by(unknown.len() as u64);
-                for e in unknown {
+                self.counters.invalid_values.inc_by(invalid.len() as u64);
+                for e in invalid {
                     log::warn!(version = to, entry = e.entry, field = e.field, reason = e.reason;
                         "config_unknown_word");
                 }
@@ -194,14 +194,15 @@
             ViewChange::OldConfig { version, kept } => {
                 log::warn!(version = version, kept = kept; "config_not_newer");
             }
-            ViewChange::TakenOut(dc) => log::info!(dc:% = dc, revision = revision; "dc_out"),
-            ViewChange::TakenBack(dc) => log::info!(dc:% = dc, revision = revision; "dc_back"),
+            ViewChange::DrainedDc(dc) => log::info!(dc:% = dc, revision = revision; "dc_out"),
+            ViewChange::RestoredDc(dc) => log::info!(dc:% = dc, revision = revision; "dc_back"),
             ViewChange::Server(name) => {
                 let view = self.view.borrow();
                 let entry = view.servers().find(|e| e.member.life.name == *name);
                 if let Some(ServerEntry { member, .. }) = entry {
                     log::info!(server:% = member.life, service:% = member.service, dc:% = member.dc,
-                        state:? = member.state, cold_ms = member.cold.0, revision = revision; "server");
+                        state:? = member.state, cold_ms = member.warmup_left.0, revision = revision;
+                        "server");
                 }
             }
             ViewChange::ServerGone(name) => {
--- a/crates/chicoryrail-runtime/tests/http_client.rs
+++ b/crates/chicoryrail-runtime/tests/http_client.rs
@@ -9,9 +9,9 @@
 
 use bytes::Bytes;
 use chicoryrail_core::Millis;
-use chicoryrail_runtime::AnswerWait;
 use chicoryrail_runtime::HttpClient;
 use chicoryrail_runtime::HttpError;
+use chicoryrail_runtime::ResponseTimeouts;
 use chicoryrail_runtime::block_on;
 use http::Request;
 use http::Response;
@@ -28,7 +28,7 @@
     let addr = listener.local_addr().unwrap();
     let server = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        thread::sleep(Millis(600).duration());
+        thread::sleep(Millis(600).to_duration());
         let mut all = Vec::new();
         let end = stream.read_to_end(&mut all).map_err(|e| e.kind());
         (all.len(), end)
@@ -39,7 +39,7 @@
             .unwrap();
         let client = HttpClient::default();
         let result = client.call(addr, request, Millis(100)).await;
-        monoio::time::sleep(Millis(1_000).duration()).await;
+        monoio::time::sleep(Millis(1_000).to_duration()).await;
         result
     });
     assert!(
@@ -62,23 +62,25 @@
         stream.write_all(head).unwrap();
         for _ in 0..pieces {
             stream.write_all(&[1; 10]).unwrap();
-            thread::sleep(Millis(60).duration());
+            thread::sleep(Millis(60).to_duration());
         }
-        thread::sleep(Millis(5_000).duration());
+        thread::sleep(Millis(5_000).to_duration());
     });
     addr
 }
 
 fn call_slow_server(pieces: usize) -> Result<Bytes, HttpError> {
     let addr = slow_server(pieces);
-    let wait = AnswerWait {
-        first: Millis(250),
-        further: Millis(200),
+    let timeouts = ResponseTimeouts {
+        first_piece: Millis(250),
+        next_piece: Millis(200),
     };
     let request = Request::get("/").body(Bytes::new()).unwrap();
     block_on(async {
         let client = HttpClient::default();
-        let response = client.call_while_arriving(addr, request, wait, || {}).await;
+        let response = client
+            .call_while_receiving(addr, request, timeouts, || {})
+            .await;
         response.map(Response::into_body)
     })
 }
--- a/crates/chicoryrail-testkit/src/bin/testkit-load.rs
+++ b/crates/chicoryrail-testkit/src/bin/testkit-load.rs
@@ -10,7 +10,7 @@
 use bpaf::long;
 use chicoryrail_core::Millis;
 use chicoryrail_runtime::block_on;
-use chicoryrail_runtime::exit_with;
+use chicoryrail_runtime::exit_with_error;
 use chicoryrail_testkit::CallRecord;
 use chicoryrail_testkit::Load;
 use chicoryrail_testkit::LoadHost;
@@ -44,8 +44,8 @@
         .argument::<SocketAddr>("ADDR")
         .some("at least one --host is required")
         .map(|addrs| {
-            let build = |callers| LoadHost {
-                callers,
+            let build = |addr| LoadHost {
+                addr,
                 readiness: None,
             };
             addrs.into_iter().map(build).collect::<Vec<_>>()
@@ -103,7 +103,7 @@
             all.map(|s| LoadService {
                 host: host_name.clone(),
                 keyed: keyed && s.kind == LoadKind::Lookup,
-                ..s.with_keys(keys as u32, skew).with_body(body)
+                ..s.with_keys(keys as u32, skew).with_body_bytes(body)
             })
             .collect::<Vec<_>>()
         },
@@ -112,7 +112,7 @@
         |s| !s.is_empty(),
         "at least one --lookup, --order or --report is required",
     );
-    let length = number_flag(
+    let duration = number_flag(
         "seconds",
         "CHICORYRAIL_TESTKIT_SECONDS",
         "Duration of the run in seconds",
@@ -148,7 +148,7 @@
     construct!(LoadOptions {
         hosts,
         services,
-        length,
+        duration,
         rate,
         callers,
         deadline,
@@ -208,12 +208,12 @@
     if let Some(path) = records
         && let Err(e) = write_records(&path, &call_records)
     {
-        return exit_with(&format!("--records: {e}"));
+        return exit_with_error(&format!("--records: {e}"));
     }
     let summary = LoadSummary::of(&call_records);
     match serde_json::to_string(&summary) {
         Ok(text) => println!("{text}"),
-        Err(e) => return exit_with(&e.to_string()),
+        Err(e) => return exit_with_error(&e.to_string()),
     }
     ExitCode::from(u8::from(summary.wrong > 0))
 }
--- a/crates/chicoryrail-testkit/src/cluster/http.rs
+++ b/crates/chicoryrail-testkit/src/cluster/http.rs
@@ -38,7 +38,7 @@
         .body(body.into())
         .map_err(|e| call_error(e.to_string()))?;
     let called = std::thread::spawn(move || {
-        let client = HttpClient::default().with_limit(1 << 30);
+        let client = HttpClient::default().with_max_response(1 << 30);
         block_on(async { client.call(addr, request, timeout).await })
             .map(|a| (a.status().as_u16(), a.into_body()))
             .map_err(|e| e.to_string())
@@ -50,7 +50,7 @@
 }
 
 /// Returns whether a `GET` request returns status 200.
-pub(crate) fn is_ok(addr: SocketAddr, path: &str, timeout: Millis) -> bool {
+pub(crate) fn responds_ok(addr: SocketAddr, path: &str, timeout: Millis) -> bool {
     matches!(
         call_blocking(&Method::GET, addr, path, "", timeout),
         Ok((200, _))
@@ -64,9 +64,9 @@
     timeout: Millis,
     operation: &str,
 ) -> Result<(), ClusterError> {
-    let deadline = Instant::now() + timeout.duration();
+    let deadline = Instant::now() + timeout.to_duration();
     while Instant::now() < deadline {
-        if is_ok(addr, path, Millis(1_000)) {
+        if responds_ok(addr, path, Millis(1_000)) {
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/chicoryrail-testkit/src/load/call.rs
+++ b/crates/chicoryrail-testkit/src/load/call.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use chicoryrail_core::Millis;
 use chicoryrail_platform::call_header;
-use chicoryrail_runtime::collect;
+use chicoryrail_runtime::collect_body;
 use http::Method;
 use http::Request;
 use http::Response;
@@ -16,11 +16,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::AnswerHead;
 use crate::LoadKind;
+use crate::ResponseHead;
 use crate::load::mix::PlannedRequest;
 use crate::load::pool::Pool;
-use crate::wall_micros;
+use crate::unix_micros;
 
 /// Time after its deadline at which a request counts as hung.
 const HANG_GRACE: Millis = Millis(1_000);
@@ -111,13 +111,13 @@
             },
         },
     };
-    let limit = (deadline + HANG_GRACE).duration();
+    let limit = (deadline + HANG_GRACE).to_duration();
     let sent = send(pool, hosts, planned, deadline, &mut record);
     if timeout(limit, sent).await.is_err() {
         record.outcome = Outcome::Unknown;
         record.hung = true;
     }
-    record.ended = wall_micros();
+    record.ended = unix_micros();
     record
 }
 
@@ -178,10 +178,10 @@
 ) {
     let (head, body) = response.into_parts();
     let text = |name: &http::HeaderName| call_header::text(&head.headers, name);
-    let stamped = text(&call_header::STAMP).is_some();
+    let stamped = text(&call_header::UPSTREAM_STAMP).is_some();
     record.status = head.status.as_u16();
     record.server = text(&call_header::SERVER).map(str::to_owned);
-    let Ok(body) = collect(body, MAX_RESPONSE_BYTES).await else {
+    let Ok(body) = collect_body(body, MAX_RESPONSE_BYTES).await else {
         record.outcome = Outcome::Unknown;
         return;
     };
@@ -215,7 +215,7 @@
     if !stamped {
         return Some("the response carries no stamp of a server".to_owned());
     }
-    let Some(head) = AnswerHead::check(body) else {
+    let Some(head) = ResponseHead::check(body) else {
         return Some(format!("body of {} bytes is incomplete", body.len()));
     };
     if head.request != planned.id || head.path != planned.path {
--- a/crates/chicoryrail-testkit/tests/target.rs
+++ b/crates/chicoryrail-testkit/tests/target.rs
@@ -17,9 +17,9 @@
 use chicoryrail_runtime::CancellationToken;
 use chicoryrail_runtime::HttpClient;
 use chicoryrail_runtime::block_on;
-use chicoryrail_testkit::AnswerHead;
 use chicoryrail_testkit::Ledger;
 use chicoryrail_testkit::Listener;
+use chicoryrail_testkit::ResponseHead;
 use chicoryrail_testkit::StoreOptions;
 use chicoryrail_testkit::StoreServer;
 use chicoryrail_testkit::TargetFault;
@@ -77,11 +77,11 @@
         let addr = start(options()).await;
         let response = send(addr, lookup("r1", query)).await;
         assert_eq!(response.headers()[call_header::REQUEST_ID], "r1");
-        let head = AnswerHead::check(response.body()).unwrap();
+        let head = ResponseHead::check(response.body()).unwrap();
         assert_eq!((&*head.path, &*head.request), ("/v1/kits/key-1", "r1"));
         assert_eq!(response.headers()[call_header::LOAD], "0,0,2");
         let short = &response.body()[..response.body().len() - 1];
-        assert_eq!(AnswerHead::check(short), None);
+        assert_eq!(ResponseHead::check(short), None);
     });
 }
 
@@ -120,7 +120,7 @@
             .insert(call_header::TIME_LEFT, "50".parse().unwrap());
         let first = send(addr, lookup("first", "work_us=1500000"));
         let second = async {
-            monoio::time::sleep(Millis(100).duration()).await;
+            monoio::time::sleep(Millis(100).to_duration()).await;
             send(addr, late).await
         };
         let (_, response) = futures_util::future::join(first, second).await;
@@ -155,7 +155,7 @@
             first: 100,
             last: 199,
             fence,
-            hold: Millis(20_000),
+            lease: Millis(20_000),
             handover: None,
         };
         let control = KeyControl::default();
@@ -164,7 +164,7 @@
         assert_eq!(granted, Ok(()));
         assert_eq!(send(addr, keyed("r2")).await.status(), 200);
         let old = control.grant(addr, &name, &grant(4), limit).await;
-        assert_eq!(old, Err(KeyError::FenceOld));
+        assert_eq!(old, Err(KeyError::StaleFence));
         let other = ServerName::new("kits-02");
         let wrong = control.grant(addr, &other, &grant(6), limit).await;
         assert_eq!(wrong, Err(KeyError::OtherServer));
@@ -202,7 +202,7 @@
 fn a_server_that_is_warming_up_records_an_overrun() {
     block_on(async {
         let addr = start(TargetOptions {
-            cold_bears: 2,
+            warmup_limit: 2,
             ..options()
         })
         .await;
@@ -212,7 +212,7 @@
         fault(addr, &cold).await;
         for id in ["r1", "r2", "r3"] {
             let response = send(addr, lookup(id, "")).await;
-            assert!(response.headers().contains_key(call_header::COLD_LEFT));
+            assert!(response.headers().contains_key(call_header::WARMUP_LEFT));
         }
         let seen = ledger(addr).await.overruns;
         let found: Vec<_> = seen.iter().map(|o| (o.arrived, o.bears)).collect();
@@ -239,11 +239,12 @@
             for _ in 0..1_000 {
                 if let Some(item) = store.item(&key).await.unwrap() {
                     let member = read_member(&name, &item.value).unwrap();
-                    if (member.cold > Millis::ZERO) == is_warming_up && member.state == state {
+                    if (member.warmup_left > Millis::ZERO) == is_warming_up && member.state == state
+                    {
                         return member;
                     }
                 }
-                monoio::time::sleep(Millis(10).duration()).await;
+                monoio::time::sleep(Millis(10).to_duration()).await;
             }
             panic!("the entry never has warming up: {is_warming_up}, {state:?}");
         };
