--- a/crates/chicoryrail-ownership/src/keys/assignment.rs
+++ b/crates/chicoryrail-ownership/src/keys/assignment.rs
@@ -19,7 +19,7 @@
 /// work already running on them ends.
 const MOVE_SHARE_MIN: f64 = 0.06;
 
-/// Minimum of the limit on relief moves in one plan, for few candidates.
+/// Minimum of the limit on relief moves in one plan; it applies if there are few candidates.
 const MOVES_MIN: usize = 24;
 
 /// Limit on relief moves in one plan, for each candidate. The limit grows with the number of servers because a
@@ -294,8 +294,9 @@
         }
     }
 
-    /// Returns the index of the least loaded of the lightly loaded ranges, if the owner of a neighbouring range
-    /// has enough spare load, and that owner. The only range of a candidate is not merged.
+    /// Returns the index of the least loaded range that can be merged, and the candidate that receives it: the
+    /// owner of a neighbouring range with enough spare load. Only lightly loaded ranges are merged, and not the
+    /// only range of a candidate.
     fn least_loaded_mergeable(&self) -> Option<(usize, usize)> {
         let mut best: Option<(f64, usize, usize)> = None;
         let mut range_counts = vec![0; self.candidates.len()];
--- a/crates/chicoryrail-ownership/src/keys/due.rs
+++ b/crates/chicoryrail-ownership/src/keys/due.rs
@@ -104,9 +104,9 @@
         handed_over.or_else(|| free.first().map(|span| (span, None)))
     }
 
-    /// Returns the releases that are due. They run concurrently, also with the renewals of the keys that
-    /// the server keeps, because the answer to a release arrives only when the work on its keys has ended,
-    /// which may take most of a second.
+    /// Returns the releases that are due. They run concurrently, also with the renewals of the keys that the
+    /// server keeps, because the response to a release arrives only when the work on its keys has ended, which
+    /// may take most of a second.
     fn due_releases(&self, now: Millis) -> Vec<KeyAction> {
         let mut actions: Vec<KeyAction> = Vec::new();
         let mut in_flight: BTreeMap<&Life, usize> = BTreeMap::new();
--- a/crates/chicoryrail-ownership/src/keys/key_leases.rs
+++ b/crates/chicoryrail-ownership/src/keys/key_leases.rs
@@ -181,7 +181,7 @@
         std::mem::take(&mut self.expired)
     }
 
-    /// Returns the time of the first unanswered grant since a server's last answer, if any.
+    /// Returns the time of the first unanswered grant since a server's last response, if any.
     #[must_use]
     pub fn unanswered_since(&self, life: &Life) -> Option<Millis> {
         self.servers.get(life)?.unanswered_since
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Starts a change of the owners. Must be called only while no change is pending.
+    /// Starts a change of the owners. Must be called only while no write of the record is pending.
     pub fn begin_change(&mut self, spans: Vec<OwnedRange>, attempt: u64) {
         let loose: Vec<_> = self.former_leases.iter().map(|l| l.owned.clone()).collect();
         self.pending_record = Some(self.record.next(spans, &loose, attempt));
@@ -265,7 +265,8 @@
         }
     }
 
-    /// Records the outcome of a grant.
+    /// Records the outcome of a grant that was sent under `fence`. The keys count as granted only if that is
+    /// still the fencing token of the record in force.
     pub fn grant_finished(
         &mut self,
         now: Millis,
@@ -283,7 +284,7 @@
         match outcome {
             GrantOutcome::Granted => {
                 // A server that accepted this fencing token refuses older grants, so grants of an earlier leader
-                // and grants whose answer was lost no longer count.
+                // and grants whose response was lost no longer count.
                 state.lease_until = state.outage_lease_until.max(now + max_lease);
                 state.unanswered_since = None;
                 if fence == self.record.fence {
@@ -326,7 +327,7 @@
         }
         match outcome {
             // The release carried a higher fencing token than every grant of these keys to this server, including
-            // one whose answer was lost: the server refuses such a grant when it arrives late.
+            // one whose response was lost: the server refuses such a grant when it arrives late.
             ReleaseOutcome::Released(handover) => {
                 let released = |l: &FormerLease| {
                     l.owned.owner == *life && l.owned.span.without(span).is_empty()
--- a/crates/chicoryrail-ownership/src/keys/record.rs
+++ b/crates/chicoryrail-ownership/src/keys/record.rs
@@ -104,7 +104,7 @@
     /// Keys that former owners may still hold. No grant may overlap them until their release is answered,
     /// the former owner's lease has expired, or its incarnation has ended.
     pub loose: Vec<OwnedRange>,
-    /// Random number of the write, by which a writer whose answer was lost recognises its own record.
+    /// Random number of the write, by which a writer whose response was lost recognises its own record.
     pub attempt: u64,
 }
 
--- a/crates/chicoryrail-ownership/src/keys/server_state.rs
+++ b/crates/chicoryrail-ownership/src/keys/server_state.rs
@@ -22,7 +22,7 @@
     /// necessarily end it earlier: the longer grant may take effect after it, or the server keeps the later
     /// of the two ends.
     pub(crate) outage_lease_until: Millis,
-    /// Earliest time of the next call after one without an answer.
+    /// Earliest time of the next call after one without a response.
     pub(crate) retry_at: Millis,
     /// Time at which the server's registration was last seen.
     pub(crate) last_seen: Millis,
@@ -35,7 +35,7 @@
     pub(crate) assigned: Vec<KeyRange>,
     /// Keys whose grant the server has confirmed.
     pub(crate) confirmed: Vec<ConfirmedLease>,
-    /// Time of the first unanswered grant since the server's last answer, if any.
+    /// Time of the first unanswered grant since the server's last response, if any.
     pub(crate) unanswered_since: Option<Millis>,
     /// Whether the incarnation is known to have ended.
     pub(crate) ended: bool,
--- a/crates/chicoryrail-ownership/src/keys/timing.rs
+++ b/crates/chicoryrail-ownership/src/keys/timing.rs
@@ -17,7 +17,7 @@
     pub renew_interval: Millis,
     /// Timeout of a grant call.
     pub grant_timeout: Millis,
-    /// Timeout of a release call, which is answered when the work on the keys has ended.
+    /// Timeout of a release call; the server responds when the work on the keys has ended.
     pub release_timeout: Millis,
     /// Interval between probes of a lost server. Keys granted to a server that still does not answer are unserved
     /// until they are reassigned, so a server must answer a probe before it receives keys again.
@@ -29,9 +29,9 @@
 impl Default for KeyTiming {
     /// Returns the default durations.
     ///
-    /// A lease of 2.5 s outlasts the loss of a leader: the leader's store lease of 1 s, the election and
-    /// one call to each server together take about 1.3 s, and the rest is a margin for a slow store. Four
-    /// renewals fit into it, so a lost renewal or a pause of one second causes no gap.
+    /// A lease of 2.5 s outlasts the loss of a leader: the leader's store lease of 1 s, the election and one call
+    /// to each server together take about 1.3 s, and the rest is a margin for a slow store. Four renewals fit
+    /// into a lease, so a lost renewal or a pause of one second causes no gap.
     fn default() -> Self {
         Self {
             lease: Millis(2_500),
--- a/crates/chicoryrail-ownership/tests/key_leases.rs
+++ b/crates/chicoryrail-ownership/tests/key_leases.rs
@@ -97,8 +97,8 @@
     assert!(has_handover);
 }
 
-/// A release has no answer yet because work is running on its keys. Guards against the lease of the
-/// server's other keys expiring meanwhile: they are renewed on time.
+/// A release has no response yet because work is running on its keys. Guards against the lease of the server's
+/// other keys expiring meanwhile: they are renewed on time.
 #[test]
 fn a_release_under_way_does_not_delay_renewals() {
     let mut leases = moving_half_to_b();
--- a/crates/chicoryrail-ownership/tests/model_keys/calls.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/calls.rs
@@ -23,19 +23,19 @@
     pub(crate) applies_at: u64,
     pub(crate) applied: bool,
     pub(crate) refused: bool,
-    /// Time at which the leader learns the outcome, by an answer or by the timeout; `u64::MAX` after the outcome
+    /// Time at which the leader learns the outcome, by a response or by the timeout; `u64::MAX` after the outcome
     /// was reported.
     pub(crate) ends_at: u64,
-    /// Whether the answer reaches the leader if the server runs until then.
-    pub(crate) answer_arrives: bool,
+    /// Whether the response reaches the leader if the server runs until then.
+    pub(crate) response_arrives: bool,
 }
 
 impl World {
-    /// Sends a call, and selects at random how long it takes and whether its answer is lost.
+    /// Sends a call, and selects at random how long it takes and whether its response is lost.
     pub(crate) fn send(&mut self, leader: usize, life: Life, kind: CallKind, timeout_ms: u64) {
         let reachable = self.servers.iter().any(|s| s.life == life && s.reachable);
         let arrives_at = self.now + self.rng.random_range(0..30);
-        // Some calls arrive, are applied seconds later, and are never answered.
+        // Some calls arrive, are applied seconds later, and get no response.
         let delayed = faults_active(self.now) && self.rng.random_bool(0.05);
         let applies_at = arrives_at
             + if delayed {
@@ -43,10 +43,10 @@
             } else {
                 0
             };
-        let answer_arrives = reachable && !delayed && self.rng.random_bool(0.95);
-        let answered_at = applies_at + self.rng.random_range(0..30);
-        let ends_at = if answer_arrives {
-            answered_at
+        let response_arrives = reachable && !delayed && self.rng.random_bool(0.95);
+        let responds_at = applies_at + self.rng.random_range(0..30);
+        let ends_at = if response_arrives {
+            responds_at
         } else {
             self.now + timeout_ms
         };
@@ -59,7 +59,7 @@
             applied: false,
             refused: false,
             ends_at,
-            answer_arrives,
+            response_arrives,
         });
     }
 
@@ -103,12 +103,12 @@
     pub(crate) fn report_outcome(&mut self, call: &Call) {
         let now = Millis(self.now);
         let up = self.servers.iter().any(|s| s.life == call.life && s.up);
-        // A server that has stopped sends no answer.
-        let answered = call.answer_arrives && up;
+        // A server that has stopped sends no response.
+        let responded = call.response_arrives && up;
         let leases = &mut self.leaders[call.leader].leases;
         match call.kind {
             CallKind::Grant { span, fence, .. } => {
-                let outcome = match (answered, call.refused) {
+                let outcome = match (responded, call.refused) {
                     (false, _) => GrantOutcome::NoResponse,
                     (true, true) => GrantOutcome::StaleFence,
                     (true, false) => GrantOutcome::Granted,
@@ -116,7 +116,7 @@
                 leases.grant_finished(now, &call.life, span, fence, outcome);
             }
             CallKind::Release { span, .. } => {
-                let outcome = if answered {
+                let outcome = if responded {
                     ReleaseOutcome::Released(Some("token".to_owned()))
                 } else {
                     ReleaseOutcome::NoResponse
--- a/crates/chicoryrail-ownership/tests/model_keys/main.rs
+++ b/crates/chicoryrail-ownership/tests/model_keys/main.rs
@@ -1,6 +1,6 @@
-//! Randomised simulation of key leases: leaders that are replaced while they still act, pause and resume,
-//! or lose the store while it answers others; servers that die, restart under their names, leave and join;
-//! calls that arrive late, are applied late or lose their answers.
+//! Randomised simulation of key leases: leaders that are replaced while they still act, pause and resume, or lose
+//! the store while it answers others; servers that die, restart under their names, leave and join; calls that
+//! arrive late, are applied late or lose their responses.
 //!
 //! After every step of 10 ms, the simulation checks that no two servers hold the same key, by the state of the
 //! servers and not by what a leader assumes.
--- a/crates/chicoryrail-ownership/tests/watchers.rs
+++ b/crates/chicoryrail-ownership/tests/watchers.rs
@@ -94,8 +94,8 @@
     assert!(after.iter().all(|i| !lost.contains(i)));
 }
 
-/// The store answers some hosts only. Those without an answer leave watching to others; if it answers none,
-/// the previous watchers keep trying.
+/// The store answers some hosts only. Those without a response leave watching to others; if it answers none, the
+/// previous watchers keep trying.
 #[test]
 fn hosts_without_the_store_do_not_watch() {
     let mut core_hosts = CoreHosts::new(9);
