--- a/crates/chicoryrail-ownership/src/watchers.rs
+++ b/crates/chicoryrail-ownership/src/watchers.rs
@@ -12,9 +12,9 @@
 use crate::peers::Peer;
 use crate::peers::rendezvous_score;
 
-/// Number of hosts that watch the store at the same time. Each change in the store costs a call to each of
-/// them. With two in different data centres, one may be lost with its data centre at any moment; if both
-/// are lost, others take over within a second.
+/// Number of hosts that watch the store at the same time. Each change in the store costs a call to each of them.
+/// Two in different data centres suffice: if one is lost with its data centre, the other still watches, and if
+/// both are lost, others take over within a second.
 const WATCHERS_MAX: usize = 2;
 
 /// Time for which a host that failed to relay is not selected again.
@@ -89,8 +89,9 @@
         }
     }
 
-    /// Selects a relay for a host by weighted rendezvous hashing: preferably one that the store answers,
-    /// then one in the same data centre, then by score.
+    /// Selects a relay for a host: preferably one that the store answers, then one in the same data centre, then
+    /// the one with the highest weighted rendezvous score. Hosts that failed to relay in the last second are left
+    /// out.
     fn select_relay<'a>(
         &self,
         now: Millis,
