--- a/crates/chicoryrail-core/src/names.rs
+++ b/crates/chicoryrail-core/src/names.rs
@@ -30,7 +30,7 @@
                 &self.0
             }
 
-            /// Returns whether the name has 1 to 64 characters, all of `a-z 0-9 - _ .`.
+            /// Returns `true` if the name has 1 to 64 characters, all of `a-z 0-9 - _ .`.
             #[must_use]
             pub fn is_valid(&self) -> bool {
                 let is_allowed =
--- a/crates/chicoryrail-core/src/percent.rs
+++ b/crates/chicoryrail-core/src/percent.rs
@@ -2,8 +2,7 @@
 
 use std::fmt::Write as _;
 
-/// Decodes the `%XX` sequences in `text`; returns `None` if a `%` is not followed by two hexadecimal
-/// digits.
+/// Decodes the `%XX` sequences in `text`; returns `None` if a `%` is not followed by two hexadecimal digits.
 ///
 /// A plus sign is not decoded to a space, as in paths. The decoded bytes may be invalid UTF-8.
 #[must_use]
--- a/crates/chicoryrail-core/src/site/api_key.rs
+++ b/crates/chicoryrail-core/src/site/api_key.rs
@@ -1,4 +1,4 @@
-//! API keys, the secrets that identify the organisation of a request.
+//! API keys of organisations.
 
 use secrecy::ExposeSecret;
 use secrecy::SecretString;
@@ -8,7 +8,7 @@
 use subtle::ConstantTimeEq;
 
 /// Maximum length of a key in bytes.
-const KEY_BYTES_MAX: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 
 /// A secret key that identifies the organisation of a request.
 ///
@@ -30,11 +30,11 @@
         self.0.expose_secret().as_bytes()
     }
 
-    /// Returns whether the key has 1 to 128 characters, all of visible ASCII, so that it fits into a header.
+    /// Returns `true` if the key has 1 to 128 characters, all of visible ASCII, so that it fits into a header.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         let bytes = self.expose();
-        (1..=KEY_BYTES_MAX).contains(&bytes.len()) && bytes.iter().all(u8::is_ascii_graphic)
+        (1..=MAX_KEY_BYTES).contains(&bytes.len()) && bytes.iter().all(u8::is_ascii_graphic)
     }
 }
 
--- a/crates/chicoryrail-core/src/site/caller_limits.rs
+++ b/crates/chicoryrail-core/src/site/caller_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on callers' connections and requests.
+//! Limits that a configuration sets for callers.
 
 use crate::Millis;
 
--- a/crates/chicoryrail-core/src/site/file.rs
+++ b/crates/chicoryrail-core/src/site/file.rs
@@ -20,7 +20,7 @@
 pub struct SiteError {
     /// Path of the field, such as `route.NAME.prefix`.
     pub field: String,
-    /// Value in the file; a placeholder for API keys.
+    /// Value as shown to the operator, empty if there is none; a placeholder replaces an API key.
     pub value: String,
     /// Rule that the value breaks.
     pub reason: &'static str,
@@ -36,7 +36,7 @@
     /// Services that routes refer to by name.
     #[serde(rename = "service")]
     pub services: Vec<ServiceSection>,
-    /// Routes. A request uses the one of its host with the longest prefix of its path.
+    /// Routes. A request is served by the route with its host and the longest matching path prefix.
     #[serde(rename = "route")]
     pub routes: Vec<RouteSection>,
     /// Organisations. If the list is present, each request needs an API key of one of them, except on public routes.
@@ -75,10 +75,11 @@
     pub health: String,
     /// Maximum number of connections to one server, from all hosts together; above 0.
     pub connections: u32,
-    /// Length of a server's warm-up after its start.
+    /// Length of a server's warm-up after its start; 0 if the servers need none.
     #[serde(default)]
     pub cold_ms: Millis,
-    /// Maximum rate of requests to a server that warms up, in requests per second from all hosts together.
+    /// Maximum rate of requests to a server that warms up, in requests per second from all hosts together; above 0 if
+    /// `cold_ms` is above 0.
     #[serde(default)]
     pub cold_rate: f64,
 }
@@ -93,33 +94,33 @@
     pub host: String,
     /// Prefix of the path; starts and ends with a slash.
     pub prefix: String,
-    /// Whether requests may run at most once; otherwise they may be retried.
+    /// Whether a request must run at most once. If false, requests are idempotent and may be retried after any failure.
     #[serde(default)]
     pub once: bool,
-    /// Whether responses are large; not together with `once`.
+    /// Whether responses are large; must not be set together with `once`.
     #[serde(default)]
     pub download: bool,
     /// Maximum time for a request, including its wait for a server and all retries.
     pub timeout_ms: Millis,
-    /// Latency target: a response within this time has the most value for the caller. At most `timeout_ms`.
+    /// Latency target, at most `timeout_ms`; see [`Route::latency_target`].
     pub aim_ms: Millis,
-    /// Priority if the servers lack capacity for all requests; 0 is served first.
+    /// Priority when capacity is short: lower numbers are served first, and 0 is the highest priority.
     #[serde(default)]
     pub rank: u8,
-    /// Maximum number of sends that may run one request, the first included; see [`Route::max_attempts`].
+    /// Maximum number of sends of one request that may have run it, including the first; see [`Route::max_attempts`].
     #[serde(default = "one")]
     pub attempts: u32,
-    /// Whether requests need no API key.
+    /// Whether requests are accepted without an API key; see [`Route::public`].
     #[serde(default)]
     pub public: bool,
     /// Services that receive the requests; at least one weight is above 0.
-    pub services: Vec<ServiceWeight>,
+    pub services: Vec<WeightedServiceSection>,
 }
 
-/// A service's share of a route.
+/// Entry of a route's `services`: a service and its share of the requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ServiceWeight {
+pub struct WeightedServiceSection {
     /// Name of the service.
     pub name: ServiceName,
     /// Share, relative to the weights of the route's other services.
@@ -187,7 +188,7 @@
             let mut earlier = self.services[..i].iter();
             if earlier.any(|s| s.name == service.name) {
                 let field = format!("service.{}.name", service.name);
-                return Err(invalid(field, &service.name, "is used twice"));
+                return Err(invalid_field(field, &service.name, "is used twice"));
             }
         }
         for (i, route) in self.routes.iter().enumerate() {
@@ -196,7 +197,11 @@
             if let Some(other) = self.routes[..i].iter().find(is_duplicate) {
                 let field = format!("route.{}.prefix", route.name);
                 let value = format!("{} of route {}", route.prefix, other.name);
-                return Err(invalid(field, &value, "is used twice for the same host"));
+                return Err(invalid_field(
+                    field,
+                    &value,
+                    "is used twice for the same host",
+                ));
             }
         }
         let organisations = self.organisations.as_deref();
@@ -223,20 +228,20 @@
         let field = |name: &str| format!("service.{}.{name}", self.name);
         if !self.name.is_valid() {
             let reason = "must be 1 to 64 characters of a-z 0-9 - _ .";
-            return Err(invalid(field("name"), &self.name, reason));
+            return Err(invalid_field(field("name"), &self.name, reason));
         }
         if !self.health.starts_with('/') {
-            return Err(invalid(
+            return Err(invalid_field(
                 field("health"),
                 &self.health,
                 "must start with a slash",
             ));
         }
         if self.connections == 0 {
-            return Err(invalid(field("connections"), &0, "must be above 0"));
+            return Err(invalid_field(field("connections"), &0, "must be above 0"));
         }
         if !(self.cold_rate.is_finite() && self.cold_rate >= 0.0) {
-            return Err(invalid(
+            return Err(invalid_field(
                 field("cold_rate"),
                 &self.cold_rate,
                 "must be 0 or more",
@@ -244,7 +249,7 @@
         }
         if self.cold_ms > Millis::ZERO && self.cold_rate == 0.0 {
             let reason = "must be above 0 if cold_ms is above 0";
-            return Err(invalid(field("cold_rate"), &self.cold_rate, reason));
+            return Err(invalid_field(field("cold_rate"), &self.cold_rate, reason));
         }
         Ok(())
     }
@@ -263,9 +268,9 @@
 
 impl RouteSection {
     fn from_route(route: &Route) -> Self {
-        let weight = |p: &WeightedService| ServiceWeight {
-            name: p.service.clone(),
-            weight: p.weight,
+        let section = |s: &WeightedService| WeightedServiceSection {
+            name: s.service.clone(),
+            weight: s.weight,
         };
         Self {
             name: route.name.clone(),
@@ -278,43 +283,43 @@
             rank: route.priority,
             attempts: route.max_attempts,
             public: route.public,
-            services: route.services.iter().map(weight).collect(),
+            services: route.services.iter().map(section).collect(),
         }
     }
 
     fn check(&self, services: &[ServiceSection]) -> Result<(), SiteError> {
         let field = |name: &str| format!("route.{}.{name}", self.name);
         if self.host.is_empty() {
-            return Err(invalid(field("host"), &"", "must not be empty"));
+            return Err(invalid_field(field("host"), &"", "must not be empty"));
         }
         if !(self.prefix.starts_with('/') && self.prefix.ends_with('/')) {
             let reason = "must start and end with a slash";
-            return Err(invalid(field("prefix"), &self.prefix, reason));
+            return Err(invalid_field(field("prefix"), &self.prefix, reason));
         }
         if self.timeout_ms == Millis::ZERO {
-            return Err(invalid(field("timeout_ms"), &0, "must be above 0"));
+            return Err(invalid_field(field("timeout_ms"), &0, "must be above 0"));
         }
         if self.aim_ms > self.timeout_ms {
             let reason = "must not be above timeout_ms";
-            return Err(invalid(field("aim_ms"), &self.aim_ms.0, reason));
+            return Err(invalid_field(field("aim_ms"), &self.aim_ms.0, reason));
         }
         if self.once && self.download {
             let reason = "must not be true together with once";
-            return Err(invalid(field("download"), &true, reason));
+            return Err(invalid_field(field("download"), &true, reason));
         }
         if self.attempts == 0 {
-            return Err(invalid(field("attempts"), &0, "must be above 0"));
+            return Err(invalid_field(field("attempts"), &0, "must be above 0"));
         }
-        let is_unknown = |p: &&ServiceWeight| !services.iter().any(|s| s.name == p.name);
+        let is_unknown = |w: &&WeightedServiceSection| !services.iter().any(|s| s.name == w.name);
         if let Some(unknown) = self.services.iter().find(is_unknown) {
-            return Err(invalid(
+            return Err(invalid_field(
                 field("services"),
                 &unknown.name,
                 "is not a service of this file",
             ));
         }
-        if self.services.iter().all(|p| p.weight == 0) {
-            return Err(invalid(
+        if self.services.iter().all(|w| w.weight == 0) {
+            return Err(invalid_field(
                 field("services"),
                 &"",
                 "must include a weight above 0",
@@ -332,9 +337,9 @@
     }
 
     fn build(&self) -> Route {
-        let weighted = |p: &ServiceWeight| WeightedService {
-            service: p.name.clone(),
-            weight: p.weight,
+        let weighted_service = |w: &WeightedServiceSection| WeightedService {
+            service: w.name.clone(),
+            weight: w.weight,
         };
         Route {
             name: self.name.clone(),
@@ -346,12 +351,12 @@
             priority: self.rank,
             max_attempts: self.attempts,
             public: self.public,
-            services: self.services.iter().map(weighted).collect(),
+            services: self.services.iter().map(weighted_service).collect(),
         }
     }
 }
 
-pub(super) fn invalid(
+pub(super) fn invalid_field(
     field: String,
     value: &dyn std::fmt::Display,
     reason: &'static str,
--- a/crates/chicoryrail-core/src/site/file_organisation.rs
+++ b/crates/chicoryrail-core/src/site/file_organisation.rs
@@ -8,7 +8,7 @@
 use crate::OrganisationName;
 use crate::QuotaLimit;
 use crate::SiteError;
-use crate::site::file::invalid;
+use crate::site::file::invalid_field;
 
 /// Text that errors show in place of an API key.
 const REDACTED: &str = "(hidden)";
@@ -28,7 +28,7 @@
     /// Requests that may arrive at once in addition to the rate.
     #[serde(default)]
     pub burst: f64,
-    /// Priority of its requests in place of the route's, 0 first.
+    /// Priority of its requests in place of the route's; 0 is the highest.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rank: Option<u8>,
 }
@@ -52,14 +52,14 @@
         let field = |name: &str| format!("organisation.{}.{name}", self.name);
         if !self.name.is_valid() {
             let reason = "must be 1 to 64 characters of a-z 0-9 - _ .";
-            return Err(invalid(field("name"), &self.name, reason));
+            return Err(invalid_field(field("name"), &self.name, reason));
         }
         if earlier.iter().any(|o| o.name == self.name) {
-            return Err(invalid(field("name"), &self.name, "is used twice"));
+            return Err(invalid_field(field("name"), &self.name, "is used twice"));
         }
         for (name, value) in [("rate", self.rate), ("burst", self.burst)] {
             if !(value.is_finite() && value >= 0.0) {
-                return Err(invalid(field(name), &value, "must be 0 or more"));
+                return Err(invalid_field(field(name), &value, "must be 0 or more"));
             }
         }
         self.check_keys(earlier)
@@ -70,13 +70,13 @@
             let field = format!("organisation.{}.api_keys.{i}", self.name);
             if !key.is_valid() {
                 let reason = "must be 1 to 128 visible ASCII characters";
-                return Err(invalid(field, &REDACTED, reason));
+                return Err(invalid_field(field, &REDACTED, reason));
             }
             if self.api_keys[..i].contains(key) {
-                return Err(invalid(field, &REDACTED, "is used twice"));
+                return Err(invalid_field(field, &REDACTED, "is used twice"));
             }
             if earlier.iter().any(|o| o.api_keys.contains(key)) {
-                return Err(invalid(
+                return Err(invalid_field(
                     field,
                     &REDACTED,
                     "is an API key of another organisation",
--- a/crates/chicoryrail-core/src/site/life.rs
+++ b/crates/chicoryrail-core/src/site/life.rs
@@ -1,4 +1,4 @@
-//! One start of a server, its incarnation.
+//! Incarnations of servers.
 
 use std::fmt;
 
@@ -30,7 +30,7 @@
         Self { name, born }
     }
 
-    /// Returns whether this is a later start of the same server, which means that `other` has ended.
+    /// Returns `true` if this is a later start of the same server, which means that `other` has ended.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         self.name == other.name && self.born > other.born
--- a/crates/chicoryrail-core/src/site/organisation.rs
+++ b/crates/chicoryrail-core/src/site/organisation.rs
@@ -21,6 +21,6 @@
     pub api_keys: Vec<ApiKey>,
     /// Rate limit on its requests; `None` if they are not limited.
     pub limit: Option<QuotaLimit>,
-    /// Priority of its requests in place of the route's, 0 first; `None` for the route's.
+    /// Priority of its requests in place of the route's, 0 is the highest; `None` for the route's.
     pub priority: Option<u8>,
 }
--- a/crates/chicoryrail-core/src/site/route.rs
+++ b/crates/chicoryrail-core/src/site/route.rs
@@ -6,7 +6,7 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Idempotency {
-    /// Idempotent: may be retried at another server after any failure.
+    /// Idempotent: may be retried after any failure, within the route's attempts, its timeout and the retry budget.
     Idempotent,
     /// At most once: may be sent again only if it certainly did not run.
     AtMostOnce,
@@ -19,12 +19,12 @@
     Read,
     /// Idempotent, with large responses: most of the cost is transfer, not work at the server.
     Download,
-    /// May run at most once.
+    /// With effects that must not be repeated, such as placing an order: runs at most once.
     Order,
 }
 
 impl RouteKind {
-    /// Returns whether requests of this kind may run more than once.
+    /// Returns the idempotency of requests of this kind.
     #[must_use]
     pub const fn idempotency(self) -> Idempotency {
         match self {
@@ -53,27 +53,30 @@
     pub weight: u32,
 }
 
-/// Services that receive the requests with one host and path prefix, and how these requests are treated.
+/// A rule for the requests with one host and path prefix: which services receive them, and within which limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
     /// Host in callers' requests, in lower case.
     pub host: String,
-    /// Prefix of the path; starts and ends with a slash.
+    /// Prefix of the path. It starts and ends with a slash if the configuration was built by
+    /// [`SiteFile`](crate::SiteFile); a configuration decoded from the store is not checked for this.
     pub prefix: String,
     /// Kind of its requests.
     pub kind: RouteKind,
     /// Maximum time for a request, including its wait for a server and all retries.
     pub timeout: Millis,
-    /// Latency target: a response within this time has the most value for the caller.
+    /// Latency target, used to order waiting requests, to bound the wait for an unresponsive server when another one
+    /// can be tried, and to classify requests as late in the logs. Later responses are still delivered, up to
+    /// `timeout`.
     pub latency_target: Millis,
-    /// Priority if the servers lack capacity for all requests; 0 is served first.
+    /// Priority when capacity is short: lower numbers are served first, and 0 is the highest priority.
     pub priority: u8,
-    /// Maximum number of sends that may run one request, the first included. Sends that certainly did not run it
-    /// don't count, but in all there are at most two sends more than this.
+    /// Maximum number of sends of one request that may have run it, including the first. Sends that certainly did not
+    /// run it don't count, but the number of all sends is at most `max_attempts + 2`.
     pub max_attempts: u32,
-    /// Whether requests need no API key even if organisations are configured.
+    /// Whether requests are accepted without an API key. Has no effect if no organisations are configured.
     pub public: bool,
     /// Services with their weights; at least one weight is above 0.
     pub services: Vec<WeightedService>,
--- a/crates/chicoryrail-core/src/site/service.rs
+++ b/crates/chicoryrail-core/src/site/service.rs
@@ -12,7 +12,7 @@
     pub health_path: String,
     /// Maximum number of connections to one server, from all hosts together.
     pub max_connections: u32,
-    /// Length of a server's warm-up after its start.
+    /// Length of a server's warm-up after its start; zero if the servers need none.
     pub warmup: Millis,
     /// Maximum rate of requests to a server that warms up, in requests per second from all hosts together.
     pub warmup_rate_max: f64,
--- a/crates/chicoryrail-core/src/site/site.rs
+++ b/crates/chicoryrail-core/src/site/site.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration as a whole.
+//! A configuration and the lookups in it.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::ServiceName;
 use crate::ServiceSpec;
 
-/// One version of the operator's configuration.
+/// One version of the operator's configuration as a whole, called a site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
     /// Version number. A configuration replaces only one with a lower version.
@@ -71,7 +71,7 @@
         &self.routes
     }
 
-    /// Returns the route of a request: among its host's routes, the one with the longest prefix of its path.
+    /// Returns the route of a request: the one with its host and the longest matching path prefix.
     ///
     /// `host` must be in lower case.
     #[must_use]
--- a/crates/chicoryrail-core/tests/organisations.rs
+++ b/crates/chicoryrail-core/tests/organisations.rs
@@ -49,7 +49,7 @@
     assert_eq!(file(&written).build(4).unwrap(), site);
 }
 
-/// Guards against an absent list that is read as an empty one, which makes each request need an API key.
+/// Guards against an absent list that is read as an empty one: then no request would be accepted without an API key.
 #[test]
 fn file_without_organisations_needs_no_api_keys() {
     let (text, _) = TEXT.split_once("[[organisation]]").unwrap();
