--- a/crates/chicoryrail-runtime/src/body.rs
+++ b/crates/chicoryrail-runtime/src/body.rs
@@ -27,17 +27,20 @@
 ///
 /// # Errors
 ///
-/// Returns `InvalidData` if the body is longer than `limit`, and the transport's error if it ends early.
+/// Returns `InvalidData` if the body is longer than `limit`, and an error of kind `Other` that wraps the body's error
+/// if the body fails.
 pub async fn collect_body<B>(body: B, limit: usize) -> io::Result<Bytes>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    collect_with_progress(body, limit, |_| {}).await
+    collect_body_with_progress(body, limit, |_| {}).await
 }
 
-/// Reads a body like [`collect_body`] and calls `on_data` with each data frame.
-pub(crate) async fn collect_with_progress<B>(
+/// Reads a body like [`collect_body`] and calls `on_data` with each data frame, so that the caller can notice progress.
+///
+/// The frame that exceeds `limit` is reported too.
+pub(crate) async fn collect_body_with_progress<B>(
     body: B,
     limit: usize,
     on_data: impl Fn(&Bytes),
--- a/crates/chicoryrail-runtime/src/callers/head_scanner.rs
+++ b/crates/chicoryrail-runtime/src/callers/head_scanner.rs
@@ -16,23 +16,26 @@
 use http::header::TRANSFER_ENCODING;
 use http::header::UPGRADE;
 
-/// Largest number of headers in a scanned head, independent of the listener's limit.
+/// Maximum number of headers that the scanner parses; at a head with more it stops. hyper enforces the listener's own
+/// limit, [`HttpLimits::max_headers`](crate::HttpLimits::max_headers).
 const MAX_HEADERS: usize = 128;
 
 /// Finds the request heads in the bytes of one connection, in order.
 ///
-/// hyper serves the requests of a connection one after the other. The scanner reads the same bytes with the same
-/// parser, so that a later request can start early. Where the end of a request is uncertain (a chunked body, an invalid
-/// head), the scanner stops for good and leaves the rest of the connection to hyper.
+/// hyper serves the requests of a connection one after the other. The scanner reads the same bytes with `httparse`,
+/// which hyper uses too, so that a later request can start early. Where the next head may not follow or its start is
+/// uncertain, the scanner stops for good and leaves the rest of the connection to hyper: after an invalid head, a
+/// chunked body, conflicting lengths, HTTP/1.0, `CONNECT`, `Upgrade`, `Expect`, or a `Connection` header other than
+/// keep-alive.
 #[derive(Debug)]
 pub struct HeadScanner {
     /// Start of a head that is not complete yet.
     partial_head: BytesMut,
-    /// Bytes of the current body that were not received yet.
+    /// Number of bytes of the current body that were not received yet.
     body_left: u64,
-    /// Whether scanning has stopped for good.
+    /// Set when the start of the next head can't be determined; all further bytes are ignored.
     stopped: bool,
-    /// Largest head in bytes.
+    /// Maximum size of a head in bytes.
     max_head: usize,
     heads: VecDeque<ScannedHead>,
 }
@@ -66,16 +69,16 @@
         if self.stopped || bytes.is_empty() {
             return;
         }
-        // Parses only at the end of a head: otherwise a caller that sends byte by byte would have the start of its head
-        // parsed again for every byte.
-        let from = self.partial_head.len().saturating_sub(3);
+        // Parses only when a head is complete: otherwise a caller that sends single bytes would cause quadratic
+        // parsing. The empty line at the end of a head may span two reads.
+        let search_start = self.partial_head.len().saturating_sub(3);
         self.partial_head.extend_from_slice(bytes);
-        if !has_empty_line(&self.partial_head[from..]) {
+        if !has_empty_line(&self.partial_head[search_start..]) {
             self.stopped = self.partial_head.len() > self.max_head;
             return;
         }
         while self.body_left == 0 && !self.stopped && !self.partial_head.is_empty() {
-            if !self.parse_head() {
+            if !self.take_head() {
                 break;
             }
         }
@@ -86,8 +89,11 @@
         self.heads.pop_front()
     }
 
-    /// Removes the first head from the buffered bytes. Returns `false` if it is incomplete or invalid.
-    fn parse_head(&mut self) -> bool {
+    /// Moves the first buffered head to `heads` and skips its body. Returns `false` if the head is incomplete or
+    /// invalid.
+    ///
+    /// Scanning stops at an invalid head, and after a head that is not certain to be followed by another.
+    fn take_head(&mut self) -> bool {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let length = match request.parse(&self.partial_head) {
@@ -127,7 +133,7 @@
     NoBody,
     /// A body of this length in bytes.
     Body(u64),
-    /// Data whose end the scanner does not determine.
+    /// The scanner can't tell where the next head starts, or there is none.
     Unknown,
 }
 
@@ -136,14 +142,14 @@
         let mut length = None;
         for header in request.headers.iter() {
             let is_named = |name: &HeaderName| header.name.eq_ignore_ascii_case(name.as_str());
-            let keep_alive = header
+            let is_keep_alive = header
                 .value
                 .trim_ascii()
                 .eq_ignore_ascii_case(b"keep-alive");
             if is_named(&TRANSFER_ENCODING)
                 || is_named(&UPGRADE)
                 || is_named(&EXPECT)
-                || (is_named(&CONNECTION) && !keep_alive)
+                || (is_named(&CONNECTION) && !is_keep_alive)
             {
                 return Self::Unknown;
             }
@@ -169,7 +175,7 @@
 impl ScannedHead {
     /// Parses the head. Returns `None` for a head that hyper would reject too.
     #[must_use]
-    pub fn request(&self) -> Option<Request<()>> {
+    pub fn to_request(&self) -> Option<Request<()>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         parsed.parse(&self.bytes).ok()?;
--- a/crates/chicoryrail-runtime/src/callers/http_server.rs
+++ b/crates/chicoryrail-runtime/src/callers/http_server.rs
@@ -49,13 +49,14 @@
 pub struct HttpLimits {
     /// Largest request head in bytes. Values below 8192 count as 8192.
     pub max_head_bytes: usize,
-    /// Largest number of headers of a request.
+    /// Maximum number of headers of a request.
     pub max_headers: usize,
     /// Timeout for receiving a request head, from its first byte.
     pub head_timeout: Millis,
-    /// Time for which a connection without a request is kept open.
+    /// Time for which a connection without a request is kept open. Values below `head_timeout` count as
+    /// `head_timeout`.
     pub idle_timeout: Millis,
-    /// Most connections open at a time. Further ones are closed on accept, so that the file descriptors
+    /// Maximum number of connections open at a time. Further ones are closed on accept, so that the file descriptors
     /// needed for servers and peers stay free.
     pub max_connections: u32,
 }
@@ -72,7 +73,7 @@
     }
 }
 
-/// Most connections accepted after the stop. The kernel's accept queue contains about a thousand.
+/// Maximum number of connections accepted after the stop. The kernel's accept queue contains about a thousand.
 const MAX_FINAL_ACCEPTS: u32 = 1_024;
 
 /// Number of checks for a first request on a connection without one, before it is closed at a stop.
--- a/crates/chicoryrail-runtime/src/callers/pipeline.rs
+++ b/crates/chicoryrail-runtime/src/callers/pipeline.rs
@@ -16,8 +16,8 @@
 use crate::callers::ScannedHead;
 use crate::empty_body;
 
-/// Most requests of one connection that are served concurrently with the current one. Each may occupy a server's slot
-/// and keep a response in memory. Eight hide a server's latency as well as a hundred would.
+/// Maximum number of requests of one connection that are served concurrently with the current one. Each may occupy a
+/// server's slot and keep a response in memory. Eight hide a server's latency as well as a hundred would.
 pub(crate) const MAX_EARLY_STARTS: usize = 8;
 
 /// A response that is being produced.
@@ -146,7 +146,7 @@
             if !queued.head.pipelinable {
                 return;
             }
-            let Some(request) = queued.head.request() else {
+            let Some(request) = queued.head.to_request() else {
                 return;
             };
             let (parts, ()) = request.clone().into_parts();
--- a/crates/chicoryrail-runtime/src/http_client.rs
+++ b/crates/chicoryrail-runtime/src/http_client.rs
@@ -15,7 +15,7 @@
 use snafu::Snafu;
 
 use crate::ServerConn;
-use crate::body::collect_with_progress;
+use crate::body::collect_body_with_progress;
 use crate::full_body;
 
 /// Idle connections kept for each address. Control calls rarely overlap, and more connections would count
@@ -62,7 +62,7 @@
 /// Timeouts of a call whose response may have any length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseTimeouts {
-    /// Longest wait for the first data of the response body.
+    /// Longest wait for the first data of the response body, from the start of the call.
     pub first_piece: Millis,
     /// Longest wait for further data.
     pub next_piece: Millis,
@@ -178,7 +178,7 @@
             .context(CallSnafu { addr })?;
         let (head, body) = response.into_parts();
         let on_data = |data: &Bytes| received.set(received.get() + data.len());
-        let body = collect_with_progress(body, self.max_body, on_data)
+        let body = collect_body_with_progress(body, self.max_body, on_data)
             .await
             .context(ResponseSnafu { addr })?;
         // A connection that the peer closes after this response still appears ready until the close is read,
--- a/crates/chicoryrail-runtime/src/invariants.rs
+++ b/crates/chicoryrail-runtime/src/invariants.rs
@@ -52,7 +52,7 @@
         holds
     }
 
-    /// Asserts that `new` is greater than `old`. Returns whether it is.
+    /// Reports a violation if `new` is not greater than `old`. Returns `true` if it is greater.
     pub fn check_increases<T: PartialOrd + Display>(
         &self,
         invariant: Invariant,
--- a/crates/chicoryrail-runtime/src/log_sink.rs
+++ b/crates/chicoryrail-runtime/src/log_sink.rs
@@ -14,15 +14,17 @@
 use nix::poll::poll;
 use nix::unistd::write;
 
-/// Most bytes buffered for a slow reader. Further lines are dropped and counted.
+/// Maximum number of bytes buffered for a slow reader. Further lines are dropped and counted.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Bytes of one write. A pipe that polls as writable accepts this many without blocking (`PIPE_BUF` on Linux).
+/// Maximum number of bytes of one write. A pipe that polls as writable accepts this many without blocking (`PIPE_BUF`
+/// on Linux).
 const CHUNK_BYTES: usize = 4_096;
 
-/// Share of the rate, in percent, that lines of single requests may use. The rest is reserved for view changes, of
-/// which a host logs some tens in the busiest seconds.
-const REQUEST_SHARE_PERCENT: u64 = 60;
+/// Lines about individual requests are dropped once all lines of a second have used this percentage of the rate. The
+/// rest is left to other lines, such as changes of the leader, the configuration or the servers, of which a host logs
+/// some tens in the busiest seconds.
+const REQUEST_LINES_PERCENT: u64 = 60;
 
 /// Buffers log lines and writes them without blocking. Clones share the buffer.
 ///
@@ -37,9 +39,10 @@
 #[derive(Debug)]
 struct State {
     buffer: Vec<u8>,
-    rate: u32,
+    max_lines_per_second: u32,
     second_start: Instant,
-    lines: u32,
+    /// Number of lines of any kind that were buffered since `second_start`.
+    lines_this_second: u32,
     dropped: u64,
 }
 
@@ -49,9 +52,9 @@
     pub fn new(rate: u32) -> Self {
         let state = State {
             buffer: Vec::with_capacity(CHUNK_BYTES * 2),
-            rate,
+            max_lines_per_second: rate,
             second_start: Instant::now(),
-            lines: 0,
+            lines_this_second: 0,
             dropped: 0,
         };
         Self {
@@ -64,35 +67,36 @@
         self.flush_to(&io::stdout());
     }
 
-    /// Buffers one line, or drops it above the rate or the buffer's limit.
+    /// Buffers one line, or drops it if the rate or the buffer's limit is exceeded.
     ///
-    /// Lines of single requests (`of_request`) may use only a share of the rate, so that thousands of failing
-    /// requests don't displace the other lines.
+    /// Lines about individual requests (`of_request`) are dropped earlier, when all lines of the second have used only
+    /// a part of the rate, so that thousands of failing requests don't displace the other lines.
     pub fn write_line(&self, line: &[u8], of_request: bool) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.start_second();
-        let share_percent = if of_request {
-            REQUEST_SHARE_PERCENT
+        state.start_new_second_if_due();
+        let limit_percent = if of_request {
+            REQUEST_LINES_PERCENT
         } else {
             100
         };
-        let max_lines = u64::from(state.rate) * share_percent / 100;
-        if u64::from(state.lines) >= max_lines
+        let max_lines = u64::from(state.max_lines_per_second) * limit_percent / 100;
+        if u64::from(state.lines_this_second) >= max_lines
             || state.buffer.len() + line.len() > MAX_BUFFERED_BYTES
         {
             state.dropped += 1;
             return;
         }
-        state.lines += 1;
+        state.lines_this_second += 1;
         state.buffer.extend_from_slice(line);
     }
 
     /// Writes as much of the buffer to `out` as possible without blocking.
     ///
-    /// It bypasses any userspace buffer of `out`, which would split the chunks, so that a partial write could block.
+    /// Writes to the file descriptor directly: a userspace buffer would split the chunks, and a write of more than the
+    /// pipe accepts could then block. After a failed write, the rest stays buffered until the next flush.
     pub fn flush_to(&self, out: &impl AsFd) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.start_second();
+        state.start_new_second_if_due();
         let mut written = 0;
         while written < state.buffer.len() && is_writable(out) {
             let end = (written + CHUNK_BYTES).min(state.buffer.len());
@@ -106,13 +110,13 @@
 }
 
 impl State {
-    /// Starts a new second if the current one has ended, and buffers a line on the lines dropped before.
-    fn start_second(&mut self) {
+    /// Starts a new second if the current one has ended, and buffers a line that reports how many lines were dropped.
+    fn start_new_second_if_due(&mut self) {
         if self.second_start.elapsed() < Duration::from_secs(1) {
             return;
         }
         self.second_start = Instant::now();
-        self.lines = 0;
+        self.lines_this_second = 0;
         if self.dropped > 0 && self.buffer.len() < MAX_BUFFERED_BYTES {
             let line = format!("log=left_out lines={}\n", self.dropped);
             self.buffer.extend_from_slice(line.as_bytes());
--- a/crates/chicoryrail-runtime/src/server_pool.rs
+++ b/crates/chicoryrail-runtime/src/server_pool.rs
@@ -46,9 +46,8 @@
 }
 
 impl ServerPool {
-    /// Limits the open connections to the server's slots plus a reserve, at most the service's `connections`.
-    ///
-    /// The limit is at least 1.
+    /// Limits the open connections to the server's slots plus a reserve, or to `connections` if that is less. The limit
+    /// is at least 1.
     pub fn set_max_connections(&self, slots: u32, connections: u32) {
         self.max_open
             .set(connections.min(slots + SPARE_CONNECTIONS).max(1));
--- a/crates/chicoryrail-runtime/src/signal.rs
+++ b/crates/chicoryrail-runtime/src/signal.rs
@@ -1,4 +1,4 @@
-//! Notifies tasks of a change.
+//! A notification that tasks can wait for without missing changes.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -9,7 +9,7 @@
 /// A change notification that any number of tasks can wait for.
 ///
 /// A task reads [`ChangeSignal::version`] before it checks its condition and then waits with
-/// [`ChangeSignal::wait_past`]. A change between the check and the wait then wakes the task immediately.
+/// [`ChangeSignal::wait_past`]. If a change happens between the check and the wait, the wait returns immediately.
 #[derive(Debug, Default)]
 pub struct ChangeSignal {
     version: Cell<u64>,
@@ -17,13 +17,13 @@
 }
 
 impl ChangeSignal {
-    /// Returns the version: the number of notifications so far.
+    /// Returns the version, which each notification increases by 1.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version.get()
     }
 
-    /// Counts a change and wakes all waiting tasks.
+    /// Increases the version and wakes all waiting tasks.
     pub fn notify(&self) {
         self.version.set(self.version.get() + 1);
         for waker in self.wakers.take() {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Waits until the version exceeds `seen`.
+    /// Waits until the version is newer than `seen`.
     pub async fn wait_past(&self, seen: u64) {
         poll_fn(|cx| {
             if self.version.get() > seen {
--- a/crates/chicoryrail-runtime/tests/head_scanner.rs
+++ b/crates/chicoryrail-runtime/tests/head_scanner.rs
@@ -16,7 +16,7 @@
     let mut scanner = HeadScanner::new(LIMIT);
     scanner.feed(text.as_bytes());
     let name = |head: ScannedHead| {
-        let path = head.request().unwrap().uri().path().to_owned();
+        let path = head.to_request().unwrap().uri().path().to_owned();
         if head.pipelinable { path } else { path + "!" }
     };
     heads(&mut scanner).into_iter().map(name).collect()
@@ -110,7 +110,7 @@
             scanner.feed(part);
         }
         for head in heads(&mut scanner) {
-            let _ = head.request();
+            let _ = head.to_request();
         }
     }
 }
--- a/crates/chicoryrail-runtime/tests/log_sink.rs
+++ b/crates/chicoryrail-runtime/tests/log_sink.rs
@@ -56,7 +56,8 @@
     assert_eq!(lines_read(reader), ["log=left_out lines=450"]);
 }
 
-/// Guards against the loss of a view change: many refused requests fill the log in the same second.
+/// Guards against the loss of a line such as a change of the leader: many refused requests fill the log in the same
+/// second.
 #[test]
 fn request_lines_do_not_displace_other_lines() {
     let sink = LogSink::new(50);
--- a/crates/chicoryrail-runtime/tests/pipeline.rs
+++ b/crates/chicoryrail-runtime/tests/pipeline.rs
@@ -39,7 +39,7 @@
 /// Starts (`begin`) and ends (`end`) of requests, in order. A request that is dropped has no end.
 type Events = Rc<RefCell<Vec<String>>>;
 
-/// A listener whose responses contain the path of the request. The prefix of the path selects the behavior: `/slow`
+/// A listener whose responses contain the path of the request. The prefix of the path selects the behaviour: `/slow`
 /// takes [`SLOW`], `/order` must not start early, `/close` closes the connection, `/cut` ends the body early.
 struct Service {
     addr: SocketAddr,
@@ -221,7 +221,8 @@
     });
 }
 
-/// The head of the second lookup arrives byte by byte while the first is in flight. It starts with its last byte.
+/// The head of the second lookup arrives byte by byte while the first lookup is in flight. The second one starts when
+/// the last byte of its head arrives.
 #[test]
 fn a_head_sent_byte_by_byte_starts_with_its_last_byte() {
     block_on(async {
