--- a/crates/chicoryctl/src/change.rs
+++ b/crates/chicoryctl/src/change.rs
@@ -31,8 +31,8 @@
 /// Field of a configuration file whose values never appear in output.
 const SECRET_FIELD: &str = "api_keys";
 
-/// Maximum attempts at a change while other operators change the configuration concurrently.
-const PUT_ATTEMPTS_MAX: usize = 5;
+/// Maximum number of attempts at a change while other operators change the configuration concurrently.
+const MAX_PUT_ATTEMPTS: usize = 5;
 
 /// Checks a configuration file; returns how many services and routes it defines.
 pub(crate) fn check(path: &Path) -> Result<String, CtlError> {
@@ -72,7 +72,7 @@
     build: impl Fn(Option<ConfigEntry>) -> Result<Site, CtlError>,
 ) -> Result<u64, CtlError> {
     let key = store_key(&Subject::Config);
-    for _ in 0..PUT_ATTEMPTS_MAX {
+    for _ in 0..MAX_PUT_ATTEMPTS {
         let (before, revision) = read_stored(store).await?;
         let site = build(before)?;
         let value = write_config(&site).context(WriteSnafu)?;
@@ -83,7 +83,7 @@
             Err(source) => return Err(CtlError::Store { source }),
         }
     }
-    // Every attempt lost against another operator. A mismatch with an expected version has returned above.
+    // Another operator's change came first in every attempt. A mismatch with an expected version has returned above.
     let (before, _) = read_stored(store).await?;
     let found = before.map_or(0, |e| e.site.version);
     Err(CtlError::Version { expected: 0, found })
--- a/crates/chicoryctl/src/error.rs
+++ b/crates/chicoryctl/src/error.rs
@@ -31,7 +31,7 @@
         line: usize,
         /// Path of the field; `.` if unknown.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         reason: String,
     },
     /// A field of a configuration file has an invalid value.
@@ -42,7 +42,7 @@
         /// Field, value and reason.
         source: SiteError,
     },
-    /// A call to the store failed. Without a reply, the change may still have been made.
+    /// A call to the store failed. If no reply arrived, the change may have been made.
     #[snafu(display("store: {source}"))]
     Store {
         /// Error of the call.
--- a/crates/chicoryctl/src/organisation_settings.rs
+++ b/crates/chicoryctl/src/organisation_settings.rs
@@ -15,9 +15,9 @@
     Add {
         /// Requests per second over all hosts; 0 for no limit.
         rate: f64,
-        /// Requests allowed at once above the rate.
+        /// Requests allowed at once in addition to the rate.
         burst: f64,
-        /// Priority of its requests in place of the routes' priorities; 0 is the highest.
+        /// Priority of its requests in place of the routes' priorities, 0 is the highest; `None` for the routes'.
         rank: Option<u8>,
         /// Name of the new organisation.
         name: OrganisationName,
@@ -26,7 +26,7 @@
     Limit {
         /// Requests per second over all hosts; 0 for no limit.
         rate: f64,
-        /// Requests allowed at once above the rate.
+        /// Requests allowed at once in addition to the rate.
         burst: f64,
         /// The organisation.
         name: OrganisationName,
--- a/crates/chicoryctl/src/status.rs
+++ b/crates/chicoryctl/src/status.rs
@@ -26,7 +26,7 @@
 use crate::error::StoreSnafu;
 use crate::error::WriteSnafu;
 
-/// The contents of the store at one revision.
+/// The contents of the store, read page by page: later pages may contain newer changes than earlier ones.
 #[derive(Debug, Default)]
 pub(crate) struct Status {
     pub(crate) site: Option<Site>,
@@ -35,7 +35,7 @@
     pub(crate) servers: Vec<Member>,
     /// Name and address of each host.
     hosts: BTreeMap<String, String>,
-    /// Name of the leader and its term.
+    /// Name of the leader and its term; `None` if no host leads.
     leader: Option<(String, u64)>,
     /// Key record of each keyed service.
     key_records: BTreeMap<String, KeyRecord>,
@@ -43,7 +43,7 @@
     bad_entries: Vec<String>,
 }
 
-/// Service line of the status, as table row and as JSON.
+/// State of one service, printed as a table row or as JSON.
 #[derive(Debug, Serialize)]
 struct ServiceRow {
     service: ServiceName,
@@ -59,7 +59,7 @@
 }
 
 impl Status {
-    /// Reads a snapshot of the whole store.
+    /// Reads the whole store.
     pub(crate) async fn read(store: &KvStore) -> Result<Self, CtlError> {
         let all = store.snapshot("").await.context(StoreSnafu)?;
         let mut status = Self::default();
--- a/crates/chicoryrail-timeline/src/filter.rs
+++ b/crates/chicoryrail-timeline/src/filter.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Returns whether a line meets all conditions.
+    /// Returns `true` if a line meets all conditions.
     #[must_use]
     pub fn matches(&self, line: &LogLine) -> bool {
         let has_value = |(key, value): &(&str, String)| line.value(key) == Some(value);
--- a/crates/chicoryrail-timeline/src/losses.rs
+++ b/crates/chicoryrail-timeline/src/losses.rs
@@ -13,8 +13,8 @@
 /// Outcome of a request that succeeded in time; only a sample of these is logged.
 const IN_TIME: &str = "in_time";
 
-/// Number of seconds that the summary lists, those with most losses first.
-const MOMENTS_MAX: usize = 8;
+/// Maximum number of seconds that the summary lists, those with most losses first.
+const MAX_MOMENTS: usize = 8;
 
 /// Log events of changes that may have caused losses.
 const CHANGE_EVENTS: [&str; 15] = [
@@ -76,7 +76,7 @@
 /// Losses and changes in one second.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Moment {
-    /// Wall-clock time of its start, in seconds since the Unix epoch.
+    /// Wall-clock time of the start of the second, in seconds since the Unix epoch.
     pub at: u64,
     /// Number of requests lost in this second.
     pub lost: u64,
@@ -133,7 +133,7 @@
         losses.reasons.sort_by_key(|r| std::cmp::Reverse(r.count));
         losses.moments = moments.into_values().filter(|m| m.lost > 0).collect();
         losses.moments.sort_by_key(|m| std::cmp::Reverse(m.lost));
-        losses.moments.truncate(MOMENTS_MAX);
+        losses.moments.truncate(MAX_MOMENTS);
         losses
     }
 }
--- a/xtask/src/bench.rs
+++ b/xtask/src/bench.rs
@@ -49,6 +49,7 @@
 }
 
 impl Bench {
+    /// Measures both modes and prints the costs as a table and as JSON; returns `false` if JSON can't be written.
     pub(crate) fn run(&self) -> bool {
         let requests = self.requests.max(PIPELINE_DEPTH);
         let costs = block_on(async {
--- a/xtask/src/chaos.rs
+++ b/xtask/src/chaos.rs
@@ -35,7 +35,7 @@
 }
 
 impl Chaos {
-    /// Runs every seed and prints one line of JSON per run; returns false on a violation, failure or interrupt.
+    /// Runs every seed and prints one line of JSON per run; returns `false` on a violation, failure or interrupt.
     pub(crate) fn run(&self) -> bool {
         let Ok(stop) = stop_flag() else {
             eprintln!("can't install the handlers of SIGINT and SIGTERM");
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -62,7 +62,7 @@
 }
 
 impl Demo {
-    /// Runs the demo; returns false if a guarantee was violated, a step failed or it was interrupted.
+    /// Runs the demo; returns `false` if a guarantee was violated, a step failed or it was interrupted.
     pub(crate) fn run(&self) -> bool {
         let Ok(stop) = stop_flag() else {
             eprintln!("can't install the handlers of SIGINT and SIGTERM");
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Checks formatting, lints and documentation.
+/// Checks formatting, lints and documentation; returns `true` if all checks succeeded.
 fn lint() -> bool {
     cargo(&["+nightly", "fmt", "--all", "--check"])
         && cargo(&[
@@ -86,7 +86,7 @@
         && documentation()
 }
 
-/// Builds the programs and runs every test but the known failures.
+/// Builds the programs and runs every test except for the known failures; returns `true` if all succeeded.
 ///
 /// The programs are built first because process tests start them from the target directory.
 fn test() -> bool {
--- a/xtask/src/prose.rs
+++ b/xtask/src/prose.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::path::Path;
 
-/// Maximum lines of a file; a longer one is to be split by responsibility.
-const FILE_LINES_MAX: usize = 300;
+/// Maximum number of lines of a file; a longer one is to be split by responsibility.
+const MAX_FILE_LINES: usize = 300;
 
 /// Files that may be longer, and the one responsibility that needs the length.
 const LONG_FILES: [(&str, &str); 8] = [
@@ -86,11 +86,11 @@
         })
         .collect();
     let lines = text.lines().count();
-    if lines > FILE_LINES_MAX && !LONG_FILES.iter().any(|(long, _)| *long == file) {
+    if lines > MAX_FILE_LINES && !LONG_FILES.iter().any(|(long, _)| *long == file) {
         faults.push(ProseFault {
             file: file.to_owned(),
             line: lines,
-            reason: format!("more than {FILE_LINES_MAX} lines: split it by responsibility"),
+            reason: format!("more than {MAX_FILE_LINES} lines: split it by responsibility"),
         });
     }
     faults
@@ -108,7 +108,7 @@
     has_date(comment).then(|| "a comment contains a date".to_owned())
 }
 
-/// Returns whether a text contains a date in the form YYYY-MM-DD.
+/// Returns `true` if a text contains a date in the form YYYY-MM-DD.
 fn has_date(text: &str) -> bool {
     let bytes = text.as_bytes();
     bytes.windows(10).any(|w| {
@@ -117,7 +117,7 @@
     })
 }
 
-/// Checks all source files below `crates` and `platform/src` of the repository, but for tests.
+/// Checks all source files below `crates` and `platform/src` of the repository, except for tests.
 ///
 /// # Errors
 ///
@@ -141,7 +141,8 @@
     Ok(faults)
 }
 
-/// Returns whether a file is a source file that is checked. Tests are not: they may be long, as they have many cases.
+/// Returns `true` if a file is a source file that is checked. Tests are not, since a file of tests may be long: it has
+/// many cases.
 fn is_source(path: &Path) -> bool {
     let is_test = path.components().any(|c| c.as_os_str() == "tests");
     !is_test && path.extension().is_some_and(|e| e == "rs")
--- a/xtask/src/tools.rs
+++ b/xtask/src/tools.rs
@@ -14,12 +14,12 @@
 /// Timeout for every host to become ready after the configuration is stored.
 pub(crate) const READY_TIMEOUT: Millis = Millis(20_000);
 
-/// Runs cargo; returns whether it succeeded.
+/// Runs cargo; returns `true` if it succeeded.
 pub(crate) fn cargo(args: &[&str]) -> bool {
     run(Command::new("cargo").args(args))
 }
 
-/// Builds the documentation with warnings as errors; returns whether it succeeded.
+/// Builds the documentation with warnings as errors; returns `true` if it succeeded.
 pub(crate) fn documentation() -> bool {
     let mut doc = Command::new("cargo");
     doc.args(["doc", "--workspace", "--no-deps", "--locked"])
@@ -28,7 +28,7 @@
 }
 
 /// Builds every program in release mode and runs this command again in release mode, because measurements of a
-/// debug build are meaningless; returns whether it succeeded.
+/// debug build are meaningless; returns `true` if both succeeded.
 pub(crate) fn rerun_in_release() -> bool {
     let mut rerun = Command::new("cargo");
     rerun
@@ -44,7 +44,7 @@
     ]) && run(&mut rerun)
 }
 
-/// Prints a value as one line of JSON; returns whether that succeeded.
+/// Prints a value as one line of JSON; returns `true` if that succeeded.
 pub(crate) fn print_json<T: Serialize>(value: &T) -> bool {
     match serde_json::to_string(value) {
         Ok(line) => {
