--- a/crates/chicoryctl/src/change.rs
+++ b/crates/chicoryctl/src/change.rs
@@ -129,7 +129,11 @@
 /// Takes a data centre out of service.
 ///
 /// Without `force`, fails if no server is registered in it or a service would keep less than half of its slots.
-pub(crate) async fn out(store: &KvStore, dc: &DcName, force: bool) -> Result<String, CtlError> {
+pub(crate) async fn drain_dc(
+    store: &KvStore,
+    dc: &DcName,
+    force: bool,
+) -> Result<String, CtlError> {
     let status = Status::read(store).await?;
     if !force {
         check_remaining(&status, dc)?;
@@ -146,7 +150,7 @@
 }
 
 /// Brings a data centre back into service.
-pub(crate) async fn back(store: &KvStore, dc: &DcName) -> Result<String, CtlError> {
+pub(crate) async fn restore_dc(store: &KvStore, dc: &DcName) -> Result<String, CtlError> {
     let key = store_key(&Subject::DrainedDc(dc.clone()));
     if store.item(&key).await.context(StoreSnafu)?.is_none() {
         return Ok(format!("{dc} is not out of service\n"));
@@ -219,6 +223,7 @@
     }
 }
 
+/// Returns the key of `subject`, which must not be [`Subject::Foreign`].
 fn store_key(subject: &Subject) -> String {
     subject.key().unwrap_or_default()
 }
--- a/crates/chicoryrail-core/src/site/caller_limits.rs
+++ b/crates/chicoryrail-core/src/site/caller_limits.rs
@@ -18,8 +18,8 @@
 impl Default for CallerLimits {
     /// Returns the limits of a configuration file that sets none.
     ///
-    /// They are as large as usual limits. A host without a configuration uses the same head size and times and has no
-    /// limit on bodies, so it refuses no caller that stays within the configuration it doesn't know yet.
+    /// They are as large as usual limits. A host that has no configuration yet applies the same head size and times,
+    /// and no limit on bodies: it should not refuse a request that its configuration may allow.
     fn default() -> Self {
         Self {
             max_head: 16 << 10,
--- a/crates/chicoryrail-core/src/site/member.rs
+++ b/crates/chicoryrail-core/src/site/member.rs
@@ -31,6 +31,6 @@
     pub slots: u32,
     /// Whether the server accepts new requests.
     pub state: MemberState,
-    /// Remaining time of the server's warm-up, counted from the entry's arrival in the store; zero if it is warm.
+    /// Remaining time of the server's warm-up, counted from the entry's arrival in the store; zero if it has ended.
     pub warmup_left: Millis,
 }
--- a/crates/chicoryrail-runtime/src/callers/caller_io.rs
+++ b/crates/chicoryrail-runtime/src/callers/caller_io.rs
@@ -85,14 +85,15 @@
     }
 }
 
-/// Bytes that are read ahead of the request in flight. Further bytes stay in the kernel's receive buffer, so a caller
-/// that keeps sending meets back pressure. The default head limit of 16 KiB fits twice.
+/// Maximum number of bytes that are read ahead of the request in flight. Further bytes stay in the kernel's receive
+/// buffer, so a caller that keeps sending meets back pressure. A head of the default limit of 16 KiB fits twice.
 const MAX_READ_AHEAD_BYTES: usize = 32 << 10;
 
-/// Bytes of one read.
+/// Maximum number of bytes of one read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// A caller's stream. hyper reads from it, and it is read ahead while a request is in flight.
+/// A caller's stream. hyper reads from it; while a request is in flight, the stream is also read ahead, so that a
+/// disconnect and later requests are noticed.
 #[derive(Debug)]
 pub(crate) struct CallerStream<T> {
     inner: T,
--- a/crates/chicoryrail-runtime/src/http_client.rs
+++ b/crates/chicoryrail-runtime/src/http_client.rs
@@ -77,14 +77,14 @@
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     idle: Rc<RefCell<Idle>>,
-    max_body: usize,
+    max_response: usize,
 }
 
 impl Default for HttpClient {
     fn default() -> Self {
         Self {
             idle: Rc::default(),
-            max_body: 8 << 20,
+            max_response: 8 << 20,
         }
     }
 }
@@ -93,7 +93,7 @@
     /// Sets the longest response body that is accepted, in bytes. The default is 8 MiB.
     #[must_use]
     pub fn with_max_response(mut self, bytes: usize) -> Self {
-        self.max_body = bytes;
+        self.max_response = bytes;
         self
     }
 
@@ -178,7 +178,7 @@
             .context(CallSnafu { addr })?;
         let (head, body) = response.into_parts();
         let on_data = |data: &Bytes| received.set(received.get() + data.len());
-        let body = collect_body_with_progress(body, self.max_body, on_data)
+        let body = collect_body_with_progress(body, self.max_response, on_data)
             .await
             .context(ResponseSnafu { addr })?;
         // A connection that the peer closes after this response still appears ready until the close is read,
--- a/crates/chicoryrail-runtime/src/server_pool.rs
+++ b/crates/chicoryrail-runtime/src/server_pool.rs
@@ -34,7 +34,7 @@
 pub struct ServerPool {
     idle: RefCell<Vec<ServerConn>>,
     open: Rc<Cell<u32>>,
-    max_open: Cell<u32>,
+    max_connections: Cell<u32>,
 }
 
 /// A connection that carries at most one request at a time. Dropping it resets the connection.
@@ -49,7 +49,7 @@
     /// Limits the open connections to the server's slots plus a reserve, or to `connections` if that is less. The limit
     /// is at least 1.
     pub fn set_max_connections(&self, slots: u32, connections: u32) {
-        self.max_open
+        self.max_connections
             .set(connections.min(slots + SPARE_CONNECTIONS).max(1));
     }
 
@@ -83,7 +83,9 @@
 
     /// Returns a connection to the pool after a complete response, or closes it if the pool is full.
     pub fn release(&self, conn: ServerConn) {
-        if !conn.sender.is_closed() && (self.idle.borrow().len() as u32) < self.max_open.get() {
+        if !conn.sender.is_closed()
+            && (self.idle.borrow().len() as u32) < self.max_connections.get()
+        {
             self.idle.borrow_mut().push(conn);
         }
     }
@@ -94,7 +96,7 @@
     ///
     /// Returns the reason if none can be opened; nothing was sent.
     pub async fn connect(&self, addr: SocketAddr) -> io::Result<ServerConn> {
-        if self.open.get() >= self.max_open.get() {
+        if self.open.get() >= self.max_connections.get() {
             return Err(io::Error::other("connection limit of the server reached"));
         }
         let guard = OpenGuard::new(&self.open);
