--- a/crates/chicoryctl/src/settings.rs
+++ b/crates/chicoryctl/src/settings.rs
@@ -38,7 +38,7 @@
     Put {
         /// The file.
         file: PathBuf,
-        /// Version that must be stored before; any if `None`.
+        /// Version that must be stored before, 0 for none; any if `None`.
         expect: Option<u64>,
     },
     /// Prints the stored configuration in the form of a configuration file.
--- a/crates/chicoryctl/src/status.rs
+++ b/crates/chicoryctl/src/status.rs
@@ -50,7 +50,9 @@
     keyed: bool,
     ready: usize,
     draining: usize,
+    /// Number of servers that are warming up.
     cold: usize,
+    /// Slots of the servers that are ready.
     slots: u32,
     /// Fence of its keys; 0 for a service without keys.
     fence: u64,
--- a/crates/chicoryrail-core/src/percent.rs
+++ b/crates/chicoryrail-core/src/percent.rs
@@ -4,7 +4,7 @@
 
 /// Decodes the `%XX` sequences in `text`; returns `None` if a `%` is not followed by two hexadecimal digits.
 ///
-/// A plus sign is not decoded to a space, as in paths. The decoded bytes may be invalid UTF-8.
+/// A plus sign is not decoded to a space: paths don't encode spaces this way. The decoded bytes may be invalid UTF-8.
 #[must_use]
 pub fn percent_decode(text: &str) -> Option<Vec<u8>> {
     let mut bytes = Vec::with_capacity(text.len());
--- a/crates/chicoryrail-runtime/src/callers/head_scanner.rs
+++ b/crates/chicoryrail-runtime/src/callers/head_scanner.rs
@@ -24,16 +24,16 @@
 ///
 /// hyper serves the requests of a connection one after the other. The scanner reads the same bytes with `httparse`,
 /// which hyper uses too, so that a later request can start early. Where the next head may not follow or its start is
-/// uncertain, the scanner stops for good and leaves the rest of the connection to hyper: after an invalid head, a
-/// chunked body, conflicting lengths, HTTP/1.0, `CONNECT`, `Upgrade`, `Expect`, or a `Connection` header other than
-/// keep-alive.
+/// uncertain, the scanner stops for good and leaves the rest of the connection to hyper: after a head that is
+/// invalid or too long, a chunked body, a repeated or invalid `Content-Length`, HTTP/1.0, `CONNECT`, `Upgrade`,
+/// `Expect`, or a `Connection` header other than keep-alive.
 #[derive(Debug)]
 pub struct HeadScanner {
     /// Start of a head that is not complete yet.
     partial_head: BytesMut,
     /// Number of bytes of the current body that were not received yet.
     body_left: u64,
-    /// Set when the start of the next head can't be determined; all further bytes are ignored.
+    /// Set when the start of the next head can't be determined, or there is none; all further bytes are ignored.
     stopped: bool,
     /// Maximum size of a head in bytes.
     max_head: usize,
