--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -10,8 +10,8 @@
 use http::Response;
 use monoio::time::timeout;
 
-use crate::route::call::Call;
-use crate::route::call::SEND_TIME_MIN;
+use crate::route::caller_request::CallerRequest;
+use crate::route::caller_request::SEND_TIME_MIN;
 use crate::route::choose::Choice;
 use crate::route::choose::choose;
 use crate::route::refusal::Cause;
@@ -42,16 +42,16 @@
 /// one. It exceeds what a slow server with a slow neighbour takes, since cancelling a running request wastes its work.
 const UNRESPONSIVE_WORK_FACTOR: f64 = 8.0;
 
-/// The attempts to serve one request.
+/// One request, and the attempts to serve it so far.
 struct Attempts<'a> {
     router: &'a Rc<Router>,
     service: Rc<Service>,
-    call: &'a Call,
+    call: &'a CallerRequest,
     body: &'a Rc<RequestBody>,
     /// Servers of the earlier attempts, also those that could not be reached.
     tried: Vec<Life>,
-    /// Number of sends after which the request may have run.
-    may_have_run: u32,
+    /// Number of sends that the server may have executed.
+    possible_runs: u32,
 }
 
 /// Serves a request, with retries within the limits of its route and the retry budget.
@@ -61,7 +61,7 @@
 /// Returns the refusal if no server returned a usable response.
 pub(crate) async fn run(
     router: &Rc<Router>,
-    call: &Call,
+    call: &CallerRequest,
     body: &Rc<RequestBody>,
 ) -> Result<Response<Body>, Refusal> {
     let service = router.service(call.service_name());
@@ -74,7 +74,7 @@
         call,
         body,
         tried: Vec::new(),
-        may_have_run: 0,
+        possible_runs: 0,
     };
     attempts.run().await
 }
@@ -84,15 +84,23 @@
         loop {
             let assignment = self.acquire_server().await?;
             let life = assignment.0.life.clone();
-            let limit = self.attempt_timeout();
+            let response_timeout = self.attempt_timeout();
             let (service, call, body) = (&self.service, self.call, self.body);
-            let sent = send(self.router, service, assignment, call, body, limit).await;
+            let sent = send(
+                self.router,
+                service,
+                assignment,
+                call,
+                body,
+                response_timeout,
+            )
+            .await;
             self.log(&life, &sent);
             self.tried.push(life);
             let (refusal, reached_server) = match sent {
                 SendOutcome::Answered(response) => return Ok(response),
                 SendOutcome::ServerError(response) => {
-                    self.may_have_run += 1;
+                    self.possible_runs += 1;
                     if !self.may_retry(true) {
                         return Ok(response);
                     }
@@ -100,7 +108,7 @@
                 }
                 SendOutcome::NotRun(why) => (self.refuse_not_run(why), why != NotRun::Unreachable),
                 SendOutcome::Indeterminate(why) => {
-                    self.may_have_run += 1;
+                    self.possible_runs += 1;
                     (self.refuse_indeterminate(why), true)
                 }
             };
@@ -110,13 +118,13 @@
         }
     }
 
-    /// Waits for a server for the request. The scheduler assigns it; if the scheduler is unavailable, this host chooses
-    /// from what it knows itself.
+    /// Waits for a server for the request. The scheduler assigns it; if the scheduler is unavailable, this host selects
+    /// the server by its own view of the load.
     async fn acquire_server(&self) -> Result<(Rc<Target>, SlotGuard), Refusal> {
         let started = self.router.now();
         let decision =
             slot_query::request_slot(self.router, &self.service, self.call, &self.tried).await;
-        let by_scheduler = !matches!(decision, slot_query::Decision::Unavailable);
+        let decided_by_scheduler = !matches!(decision, slot_query::Decision::Unavailable);
         let assignment = match decision {
             slot_query::Decision::Send(target, slot) => Ok((target, slot)),
             slot_query::Decision::Refuse(after) => Err(self.refuse(Cause::Full, after)),
@@ -125,7 +133,7 @@
         };
         let mut stats = self.call.stats.borrow_mut();
         stats.waited = stats.waited + self.router.now().since(started);
-        stats.by_scheduler = by_scheduler;
+        stats.decided_by_scheduler = decided_by_scheduler;
         if let Ok((target, _)) = &assignment {
             stats.server = Some(target.life.clone());
             stats.sends += 1;
@@ -151,7 +159,7 @@
         Ok((target, slot))
     }
 
-    /// Waits for a server for the request, chosen from what this host knows itself.
+    /// Waits for a server for the request, selected by this host's own view of the load.
     async fn wait_for_target(&self) -> Result<Rc<Target>, Refusal> {
         let latency_target = self.call.route.latency_target;
         let started = self.router.now();
@@ -183,16 +191,16 @@
         }
     }
 
-    /// Returns how long to wait for the response to this attempt. An idempotent request without a key leaves an
+    /// Returns how long to wait for the response to this attempt. An idempotent request without a key is cancelled at an
     /// unresponsive server while there is time for another one, but not before twice the latency target.
     fn attempt_timeout(&self) -> Millis {
         let left = self.call.time_left(self.router.now());
         let has_alternative = self.call.is_idempotent()
             && self.call.key.is_none()
-            && self.may_have_run + 1 < self.call.route.max_attempts
+            && self.possible_runs + 1 < self.call.route.max_attempts
             && self.body.is_replayable();
-        // While this process stops, a request that is cancelled to be retried may end with an error of this host
-        // instead of the server's response: the shutdown would have lost it.
+        // No attempt is cancelled while this process stops: the retry might end with an error of this host, and the
+        // shutdown would have lost the response that the first server was about to send.
         if !has_alternative || self.router.process.stop.is_cancelled() {
             return left;
         }
@@ -208,9 +216,9 @@
     /// Returns whether the request may be sent again. If the last send reached a server (`reached_server`), the next
     /// one is a retry and consumes the retry budget.
     fn may_retry(&self, reached_server: bool) -> bool {
-        let not_run = self.may_have_run == 0;
+        let not_run = self.possible_runs == 0;
         let may = (not_run || self.call.is_idempotent())
-            && self.may_have_run < self.call.route.max_attempts
+            && self.possible_runs < self.call.route.max_attempts
             && self.tried.len() < 2 + self.call.route.max_attempts as usize
             && self.body.is_replayable()
             && self.call.time_left(self.router.now()) > SEND_TIME_MIN;
@@ -249,7 +257,7 @@
 
     /// Builds a refusal. If an earlier send may have run, its cause does not promise that the request has not run.
     fn refuse(&self, cause: Cause, capacity_in: Millis) -> Refusal {
-        if self.may_have_run > 0 {
+        if self.possible_runs > 0 {
             let cause = if cause == Cause::Late {
                 Cause::Silent
             } else {
--- a/crates/chicoryrail-router/src/route/caller.rs
+++ b/crates/chicoryrail-router/src/route/caller.rs
@@ -19,8 +19,8 @@
 use monoio::time::timeout;
 
 use crate::route::attempts;
-use crate::route::call::Call;
-use crate::route::call::find_route;
+use crate::route::caller_request::CallerRequest;
+use crate::route::caller_request::find_route;
 use crate::route::refusal::Cause;
 use crate::route::refusal::Refusal;
 use crate::state::Router;
@@ -28,8 +28,10 @@
 /// Process age up to which requests wait for the first configuration instead of being refused.
 const FIRST_CONFIG_WAIT_MAX: Millis = Millis(400);
 
-/// Time after which a caller should retry if this host has no configuration, or none that is known to be current.
+/// Time after which a caller should retry if this host has no configuration.
 const NO_CONFIG_RETRY_AFTER: Millis = Millis(300);
+
+/// Time after which a caller should retry if the configuration of this host may be outdated.
 const STALE_CONFIG_RETRY_AFTER: Millis = Millis(500);
 
 /// Serves a caller's request.
@@ -38,7 +40,7 @@
     let (head, body) = request.into_parts();
     let id = head.headers.get(call_header::REQUEST_ID).cloned();
     await_config(&router).await;
-    let mut response = match Call::parse(&router, head) {
+    let mut response = match CallerRequest::parse(&router, head) {
         Ok(call) => run(&router, call, body).await,
         Err(cause) => refuse_unparsed(&router, id.as_ref(), cause),
     };
@@ -76,7 +78,7 @@
     route.is_some_and(|r| r.kind == RouteKind::Read)
 }
 
-async fn run(router: &Rc<Router>, call: Call, body: Body) -> Response<Body> {
+async fn run(router: &Rc<Router>, call: CallerRequest, body: Body) -> Response<Body> {
     let limit = router.site().map_or(u64::MAX, |s| s.limits.max_body);
     let body = RequestBody::new(body, limit);
     let call = Rc::new(call);
@@ -99,12 +101,12 @@
 /// serves the request, and this guard with it.
 struct AbandonGuard {
     router: Rc<Router>,
-    call: Rc<Call>,
+    call: Rc<CallerRequest>,
     ended: bool,
 }
 
 impl AbandonGuard {
-    fn new(router: &Rc<Router>, call: &Rc<Call>) -> Self {
+    fn new(router: &Rc<Router>, call: &Rc<CallerRequest>) -> Self {
         Self {
             router: Rc::clone(router),
             call: Rc::clone(call),
@@ -128,7 +130,7 @@
 
 async fn forward(
     router: &Rc<Router>,
-    call: &Call,
+    call: &CallerRequest,
     body: &Rc<RequestBody>,
 ) -> Result<Response<Body>, Refusal> {
     let time_left = call.time_left(router.now());
@@ -143,7 +145,11 @@
 }
 
 /// Counts and logs the end of a request and returns its response.
-fn finish(router: &Router, call: &Call, result: Result<Response<Body>, Refusal>) -> Response<Body> {
+fn finish(
+    router: &Router,
+    call: &CallerRequest,
+    result: Result<Response<Body>, Refusal>,
+) -> Response<Body> {
     let took = router.now().since(call.arrived);
     check_invariants(router, call, &result);
     let service = call.service_name().as_str();
@@ -185,7 +191,11 @@
 
 /// Checks that a response belongs to the caller's request, and that a refused request has not run if the refusal
 /// promises so.
-fn check_invariants(router: &Router, call: &Call, result: &Result<Response<Body>, Refusal>) {
+fn check_invariants(
+    router: &Router,
+    call: &CallerRequest,
+    result: &Result<Response<Body>, Refusal>,
+) {
     let invariants = &router.process.invariants;
     match result {
         Ok(response) => {
@@ -196,11 +206,11 @@
             });
         }
         Err(refusal) => {
-            let may_have_run = call.stats.borrow().may_have_run;
-            let promise_holds = may_have_run == 0 || !refusal.cause.promises_not_run();
+            let possible_runs = call.stats.borrow().possible_runs;
+            let promise_holds = possible_runs == 0 || !refusal.cause.promises_not_run();
             invariants.check(Invariant::NotRunTrue, promise_holds, || {
                 format!(
-                    "request={} cause={} ran={may_have_run}",
+                    "request={} cause={} ran={possible_runs}",
                     call.id,
                     refusal.cause.name()
                 )
@@ -211,7 +221,7 @@
 
 /// Logs the end of a request, with the values that determined its outcome.
 fn log_end(
-    call: &Call,
+    call: &CallerRequest,
     outcome: &str,
     took: Millis,
     status: Option<StatusCode>,
@@ -222,7 +232,7 @@
         .server
         .as_ref()
         .map_or_else(|| "-".to_owned(), ToString::to_string);
-    let chosen_by = if stats.by_scheduler {
+    let chosen_by = if stats.decided_by_scheduler {
         "scheduler"
     } else {
         "host"
@@ -250,7 +260,7 @@
 
 /// Returns whether a request that succeeded in time is in the logged sample, one in `--log-ordinary`, selected by a
 /// hash of its id. 0 logs none.
-fn is_sampled(router: &Router, call: &Call) -> bool {
+fn is_sampled(router: &Router, call: &CallerRequest) -> bool {
     let sample_interval = router.options.log_ordinary;
     let hash = call
         .id
@@ -259,7 +269,7 @@
     sample_interval > 0 && hash % sample_interval == 0
 }
 
-/// Refuses a request that [`Call::parse`] rejected.
+/// Refuses a request that [`CallerRequest::parse`] rejected.
 fn refuse_unparsed(router: &Router, id: Option<&HeaderValue>, cause: Cause) -> Response<Body> {
     let id = id.and_then(|v| v.to_str().ok()).unwrap_or("-");
     let version = router.site().map_or(0, |s| s.version);
--- a/crates/chicoryrail-router/src/route/call.rs
+++ b/crates/chicoryrail-router/src/route/caller_request.rs
@@ -26,27 +26,27 @@
 use crate::route::refusal::Cause;
 use crate::state::Router;
 
-/// Least time left with which a request is sent; with less, no response is expected before the deadline.
+/// Minimum time before the deadline at which a request is still sent; with less, no response is expected in time.
 pub(crate) const SEND_TIME_MIN: Millis = Millis(5);
 
-/// What a request went through at this host; logged at its end.
+/// Statistics of a request at this host, logged when the request ends.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestStats {
-    /// Server that was last assigned to it.
+    /// Server to which the request was last assigned.
     pub(crate) server: Option<Life>,
-    /// Number of sends, also to servers that could not be reached.
+    /// Number of times that the request was assigned to a server, including servers that could not be reached.
     pub(crate) sends: u32,
-    /// Total time for which it waited for a server.
+    /// Total time for which the request waited for a server.
     pub(crate) waited: Millis,
-    /// Whether the last decision was the scheduler's. If not, this host chose from what it knows itself.
-    pub(crate) by_scheduler: bool,
-    /// Number of sends after which it may have run.
-    pub(crate) may_have_run: u32,
+    /// Whether the scheduler made the last decision. If not, this host selected the server by its own view of the load.
+    pub(crate) decided_by_scheduler: bool,
+    /// Number of sends that the server may have executed.
+    pub(crate) possible_runs: u32,
 }
 
 /// A caller's request.
 #[derive(Debug)]
-pub(crate) struct Call {
+pub(crate) struct CallerRequest {
     /// The caller's request id, for logs; `-` if there is none.
     pub(crate) id: String,
     pub(crate) method: Method,
@@ -54,23 +54,22 @@
     /// Headers that are forwarded to the server.
     pub(crate) headers: HeaderMap,
     pub(crate) route: Arc<Route>,
-    /// Organisation that it belongs to; `None` if the request needs no API key.
+    /// Organisation of the caller; `None` if the request needs no API key.
     pub(crate) organisation: Option<Arc<Organisation>>,
-    /// Whether it has taken a token of the organisation's rate limit.
+    /// Whether the request has taken one of the organisation's quota tokens.
     pub(crate) has_quota_token: Cell<bool>,
     pub(crate) service: ServiceSpec,
-    /// Version of the configuration that it was parsed with.
+    /// Version of the configuration that the request was parsed with.
     pub(crate) config_version: u64,
     /// Key of the request, if the service is keyed.
     pub(crate) key: Option<u16>,
     pub(crate) arrived: Millis,
-    /// Statistics for the log line at its end.
     pub(crate) stats: RefCell<RequestStats>,
-    /// When the caller's time or the route's timeout ends, whichever is first.
+    /// The caller's deadline or the end of the route's timeout, whichever is earlier.
     pub(crate) deadline: Millis,
 }
 
-impl Call {
+impl CallerRequest {
     /// Parses a request's head and authenticates its caller.
     ///
     /// # Errors
@@ -119,7 +118,7 @@
         priority.unwrap_or(self.route.priority)
     }
 
-    /// Returns the organisation, and its rate limit, of which the request still needs a token.
+    /// Returns the organisation and its limit if the request still needs a quota token; `None` otherwise.
     pub(crate) fn needed_quota(&self) -> Option<(&OrganisationName, QuotaLimit)> {
         let organisation = self.organisation.as_ref()?;
         let limit = organisation.limit.filter(|_| !self.has_quota_token.get())?;
@@ -136,7 +135,7 @@
         self.route.kind.idempotency() == Idempotency::Idempotent
     }
 
-    /// Returns the name of the route's selected service.
+    /// Returns the name of the service selected for this request.
     pub(crate) fn service_name(&self) -> &ServiceName {
         &self.service.name
     }
@@ -153,8 +152,8 @@
     route.cloned()
 }
 
-/// Selects one of the route's weighted services, in turn. The configuration decoder accepts only routes whose services
-/// are configured.
+/// Selects one of the route's services by weighted round robin. The configuration decoder accepts only routes whose
+/// services are configured, so the default at the end is never used.
 fn pick_service(router: &Router, site: &Site, route: &Route) -> ServiceSpec {
     let index = if route.services.len() > 1 {
         let weights: Vec<u32> = route.services.iter().map(|p| p.weight).collect();
--- a/crates/chicoryrail-router/src/route/choose.rs
+++ b/crates/chicoryrail-router/src/route/choose.rs
@@ -1,4 +1,4 @@
-//! Chooses a request's server from what this host knows itself, without the scheduler.
+//! Selects a request's server without the scheduler, by this host's own view of the load.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 use chicoryrail_ownership::keys::KeyOwner;
 use chicoryrail_policy::ServerId;
 
-use crate::route::call::Call;
+use crate::route::caller_request::CallerRequest;
 use crate::route::refusal::Cause;
 use crate::state::Router;
 use crate::state::Service;
@@ -42,7 +42,7 @@
 pub(crate) fn choose(
     router: &Router,
     service: &Service,
-    call: &Call,
+    call: &CallerRequest,
     tried: &[Life],
     now: Millis,
 ) -> Choice {
@@ -52,7 +52,13 @@
     }
 }
 
-fn choose_owner(router: &Router, service: &Service, call: &Call, key: u16, now: Millis) -> Choice {
+fn choose_owner(
+    router: &Router,
+    service: &Service,
+    call: &CallerRequest,
+    key: u16,
+    now: Millis,
+) -> Choice {
     let owner = service.keys.borrow().owner(now, key);
     let life = match owner {
         KeyOwner::Granted(life) => life,
@@ -74,7 +80,7 @@
 fn choose_unkeyed(
     router: &Router,
     service: &Service,
-    call: &Call,
+    call: &CallerRequest,
     tried: &[Life],
     now: Millis,
 ) -> Choice {
@@ -108,7 +114,7 @@
 }
 
 /// Returns `true` if the warm-up rate and the advertised rate limit of a server allow one more request, and counts it.
-fn take_rate_permit(router: &Router, call: &Call, target: &Target, now: Millis) -> bool {
+fn take_rate_permit(router: &Router, call: &CallerRequest, target: &Target, now: Millis) -> bool {
     // The scheduler distributes the whole of an advertised rate limit: it is too low to be divided among hosts.
     if target.limit.get().rate(now).is_some() {
         return false;
--- a/crates/chicoryrail-router/src/route/mod.rs
+++ b/crates/chicoryrail-router/src/route/mod.rs
@@ -2,8 +2,8 @@
 
 mod admission;
 mod attempts;
-mod call;
 mod caller;
+mod caller_request;
 mod choose;
 mod in_flight;
 mod refusal;
--- a/crates/chicoryrail-router/src/route/refusal.rs
+++ b/crates/chicoryrail-router/src/route/refusal.rs
@@ -24,11 +24,11 @@
     NoKey,
     /// The request carries no API key, or several.
     NoApiKey,
-    /// Its API key belongs to no organisation.
+    /// The API key belongs to no organisation.
     UnknownApiKey,
-    /// Its API key may have been revoked: this host has not confirmed for too long that its configuration is current.
+    /// The API key may have been revoked: for too long, this host has not verified that its configuration is current.
     StaleConfig,
-    /// Its organisation has exceeded its rate limit.
+    /// The caller's organisation has exceeded its rate limit.
     OverQuota,
     /// The request body is longer than the limit.
     TooLarge,
@@ -40,7 +40,7 @@
     NoServer,
     /// All servers that may run the request are at capacity.
     Full,
-    /// No server owns the key at this moment: it moves from one to another.
+    /// The key is being moved to another server, and no server owns it at this moment.
     KeyMoving,
     /// The deadline has passed, or too little time is left, and the request was not sent.
     Late,
--- a/crates/chicoryrail-router/src/route/response_body.rs
+++ b/crates/chicoryrail-router/src/route/response_body.rs
@@ -84,6 +84,7 @@
 struct StreamedBody {
     first: Option<Bytes>,
     rest: Incoming,
+    /// The request, and whether its connection may be reused; `None` once the body has ended.
     in_flight: Option<(InFlight, bool)>,
 }
 
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -23,7 +23,7 @@
 use hyper::body::Incoming;
 use monoio::time::timeout;
 
-use crate::route::call::Call;
+use crate::route::caller_request::CallerRequest;
 use crate::route::in_flight::InFlight;
 use crate::route::response_body;
 use crate::route::slot_guard::SlotGuard;
@@ -98,21 +98,21 @@
     }
 }
 
-/// Sends a request to its assigned server and waits for the response, at most for `limit`.
+/// Sends a request to its assigned server and waits for the response, at most for `response_timeout`.
 pub(crate) async fn send(
     router: &Router,
     service: &Rc<Service>,
     assignment: (Rc<Target>, SlotGuard),
-    call: &Call,
+    call: &CallerRequest,
     body: &Rc<RequestBody>,
-    limit: Millis,
+    response_timeout: Millis,
 ) -> SendOutcome {
     let (target, slot) = assignment;
     let (target, slot) = (&target, Rc::new(slot));
     let now = router.now();
     let idle = service.loads.borrow().has_free_slot(now, target.id);
     let started = Instant::now();
-    let not_run = call.stats.borrow().may_have_run == 0;
+    let not_run = call.stats.borrow().possible_runs == 0;
     let invariants = &router.process.invariants;
     invariants.check(
         Invariant::OrderOnce,
@@ -121,7 +121,7 @@
     );
     let in_flight = InFlight::new(service, target, &slot);
     let exchange = exchange(router, service, target, call, body, in_flight);
-    let sent = match timeout(limit.to_duration(), exchange).await {
+    let sent = match timeout(response_timeout.to_duration(), exchange).await {
         Ok(sent) => sent,
         Err(_) => SendOutcome::Indeterminate(Indeterminate::Silent),
     };
@@ -129,7 +129,7 @@
         sent,
         SendOutcome::ServerError(_) | SendOutcome::Indeterminate(_)
     ) {
-        call.stats.borrow_mut().may_have_run += 1;
+        call.stats.borrow_mut().possible_runs += 1;
     }
     let now = router.now();
     let elapsed_us = started.elapsed().as_micros() as f64;
@@ -155,7 +155,7 @@
     router: &Router,
     service: &Service,
     target: &Rc<Target>,
-    call: &Call,
+    call: &CallerRequest,
     body: &Rc<RequestBody>,
     mut in_flight: InFlight,
 ) -> SendOutcome {
@@ -187,7 +187,7 @@
 async fn handle_response(
     router: &Router,
     service: &Service,
-    call: &Call,
+    call: &CallerRequest,
     response: Response<Incoming>,
     in_flight: InFlight,
 ) -> SendOutcome {
@@ -280,7 +280,12 @@
 }
 
 /// Builds the request to the server, with the time that is left and the server that is expected at the address.
-fn new_request(call: &Call, target: &Target, body: &Rc<RequestBody>, now: Millis) -> Request<Body> {
+fn new_request(
+    call: &CallerRequest,
+    target: &Target,
+    body: &Rc<RequestBody>,
+    now: Millis,
+) -> Request<Body> {
     let mut request = Request::new(body.body());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
--- a/crates/chicoryrail-router/src/route/slot_guard.rs
+++ b/crates/chicoryrail-router/src/route/slot_guard.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// Holds a slot of a server, granted by the scheduler or taken without it. When it is dropped, the request has ended
-/// at the server, and the scheduler is sent a report of how it ended.
+/// Holds a slot of a server, assigned by the scheduler or, if the scheduler is unavailable, taken by this host. When
+/// the guard is dropped, the request has ended at the server, and the scheduler is sent a report of how it ended.
 #[derive(Debug)]
 pub(crate) struct SlotGuard {
     router: Rc<Router>,
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Takes a slot without the scheduler, which is sent only the report of the end, under ticket 0.
+    /// Takes a slot without the scheduler. The report of the end carries ticket 0, which belongs to no query, so the
+    /// scheduler only updates its estimates of the server.
     pub(crate) fn without_scheduler(
         router: &Rc<Router>,
         service: &Service,
@@ -85,7 +86,7 @@
         self.rate.set(Some(advertised));
     }
 
-    /// Records how the send ended, after `elapsed_us` microseconds.
+    /// Records how the request ended at the server, and its duration in microseconds.
     pub(crate) fn record_end(&self, elapsed_us: f64, failure: Option<Failure>) {
         self.elapsed_us.set(Some(elapsed_us as u64));
         self.kind.set(match failure {
--- a/crates/chicoryrail-router/src/route/slot_query.rs
+++ b/crates/chicoryrail-router/src/route/slot_query.rs
@@ -16,19 +16,21 @@
 use crate::messages::PartName;
 use crate::messages::SlotQuery;
 use crate::messages::SlotReply;
-use crate::route::call::Call;
+use crate::route::caller_request::CallerRequest;
 use crate::route::slot_guard::SlotGuard;
 use crate::route::slot_guard::send_to_scheduler;
 use crate::state::Router;
 use crate::state::Service;
 use crate::state::Target;
 
-/// Time after which a slot query without any reply is sent again, and time after which its scheduler counts as
-/// unreachable. For a queued query, their difference is added to [`QUEUED_POLL_INTERVAL`].
+/// Time after which a slot query without any reply is sent again.
 ///
 /// A query and its reply take a few milliseconds between data centres, but longer if a host has used up its CPU quota
 /// for the current period of 100 ms.
 const FIRST_REPLY_TIMEOUT: Millis = Millis(20);
+
+/// Time without any reply to a slot query after which its scheduler counts as unreachable. For a queued query, the time
+/// is [`QUEUED_POLL_INTERVAL`] plus the difference between this and [`FIRST_REPLY_TIMEOUT`].
 const SCHEDULER_TIMEOUT: Millis = Millis(50);
 
 /// Time after which a query that is queued at the scheduler is sent again: the reply may have been lost, or
@@ -51,7 +53,7 @@
 pub(crate) async fn request_slot(
     router: &Rc<Router>,
     service: &Rc<Service>,
-    call: &Call,
+    call: &CallerRequest,
     tried: &[Life],
 ) -> Decision {
     let part = initial_part(router, service);
@@ -158,7 +160,7 @@
 
 impl PendingQuery<'_> {
     /// Sends the query to the current scheduler.
-    fn send(&self, call: &Call, tried: &[Life]) {
+    fn send(&self, call: &CallerRequest, tried: &[Life]) {
         let now = self.router.now();
         let work = self
             .router
@@ -201,7 +203,7 @@
     router: &Router,
     service: &Service,
     part: &PartName,
-    call: &Call,
+    call: &CallerRequest,
 ) -> SchedulerHost {
     if part.dc.is_some() || call.key.is_none() {
         return router.part_scheduler(part);
