--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -31,7 +31,7 @@
 const BATCH_PAUSE_PER_HOST: Millis = Millis(8);
 const BATCH_PAUSE_MAX: Millis = Millis(600);
 
-/// Backoff after a failed call: the first pause and the longest.
+/// First pause of the backoff after a failed call; it is doubled up to [`RETRY_BACKOFF_MAX`].
 const RETRY_BACKOFF_MIN: Millis = Millis(100);
 const RETRY_BACKOFF_MAX: Millis = Millis(800);
 
@@ -197,7 +197,7 @@
     router.feed_changed.notify();
 }
 
-/// Applies changes of a feed, and notifies the hosts that follow this one; returns whether the view changed.
+/// Applies changes of a feed, and notifies the hosts that follow this one; returns `true` if the view changed.
 pub(crate) fn apply_changes(router: &Router, feed: Feed, changes: &Changes) -> bool {
     let mut logs = router.feed_logs.borrow_mut();
     let fresh = match feed_index(feed) {
--- a/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
@@ -73,7 +73,7 @@
         let seen = router.source.changed.version();
         let relay = match router.source.source.get() {
             Source::Relay(addr) => Some(addr),
-            Source::Store if !router.source.core.get() => {
+            Source::Store if !router.source.is_core_host.get() => {
                 router.process.clock.sleep(RELAY_RETRY_INTERVAL).await;
                 let boot = router.boot();
                 let peers = router.peers.borrow();
@@ -92,7 +92,7 @@
         let sent = router.now();
         match poll(&router, &client, addr).await {
             Ok(reply) => {
-                router.source.last_reply.set(router.now());
+                router.source.last_relay_reply.set(router.now());
                 let config_age = reply.config;
                 apply_reply(&router, reply);
                 if let Some(age) = config_age {
@@ -130,7 +130,7 @@
         next_piece: REPLY_SLACK,
     };
     // A reply that is still arriving counts as one, so that a leaf host does not turn to the store meanwhile.
-    let arrived = || router.source.last_reply.set(router.now());
+    let arrived = || router.source.last_relay_reply.set(router.now());
     let sent = router.now();
     let response = client.call_while_receiving(addr, request, timeouts, arrived);
     let response = response.await.context(CallSnafu)?;
@@ -163,7 +163,7 @@
     });
     RelayRequest {
         host: router.boot().host.clone(),
-        leaf: !router.source.core.get(),
+        leaf: !router.source.is_core_host.get(),
         store: router.store_up.get(),
         revisions: FEEDS.map(|feed| view.read_revision(feed)),
         fences: fences.collect(),
@@ -174,7 +174,7 @@
 fn apply_reply(router: &Rc<Router>, reply: RelayReply) {
     let now = router.now();
     apply_store_state(router, reply.store, reply.back_ms.map(Millis));
-    if !router.source.core.get() {
+    if !router.source.is_core_host.get() {
         apply_core_hosts(router, &reply);
     }
     for (feed, update) in FEEDS.into_iter().zip(reply.news) {
@@ -219,7 +219,7 @@
         let at = Millis(now.0.saturating_sub(age.0));
         router.view.borrow_mut().record_recovery(at);
     }
-    if !router.source.core.get() && router.store_up.get() != up {
+    if !router.source.is_core_host.get() && router.store_up.get() != up {
         router.store_up.set(up);
         if !up {
             router.store_lost.set(Some(now));
--- a/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
@@ -10,8 +10,10 @@
 use crate::control::config_feed::follow::record_store_call;
 use crate::state::Router;
 
-/// Time between two reads, and pause after a failed one.
+/// Time between two reads of the operator's keys.
 const VERIFICATION_INTERVAL: Millis = Millis(1_000);
+
+/// Pause after a failed read.
 const VERIFICATION_RETRY_INTERVAL: Millis = Millis(150);
 
 /// Reads the operator's keys at intervals while this host watches the store for others.
--- a/crates/chicoryrail-router/src/control/gossip.rs
+++ b/crates/chicoryrail-router/src/control/gossip.rs
@@ -28,15 +28,17 @@
 /// learns of its successor within this time.
 const HEARTBEAT_INTERVAL: Millis = Millis(400);
 
-/// Time between two reports of requested keys: this long for each host, and at least `DEMAND_REPORT_INTERVAL_MIN`. The
-/// leader must see soon that a range of keys becomes busy, and should receive a few hundred reports a second at most.
+/// Time between two reports of requested keys, for each known host. The leader must see soon that a range of keys
+/// becomes busy, and should receive a few hundred reports a second at most.
 const DEMAND_REPORT_PER_HOST: Millis = Millis(2);
+
+/// Minimum time between two reports of requested keys.
 const DEMAND_REPORT_INTERVAL_MIN: Millis = Millis(100);
 
 /// Largest number of keys in one report, so that the datagram fits into one packet.
 const KEYS_PER_REPORT_MAX: usize = 400;
 
-/// Time between two checks of a leaf host whether it became a core host.
+/// Time between two checks by a leaf host whether it has become a core host.
 const CORE_POLL_INTERVAL: Millis = Millis(50);
 
 /// Time between two messages about free slots. It is as long as a short request runs, so that the counts are still
@@ -105,7 +107,7 @@
     /// Sends heartbeats at intervals, and at once when the leader's state changes.
     pub(crate) async fn send_heartbeats(self: Rc<Self>) {
         loop {
-            if !self.router.source.core.get() {
+            if !self.router.source.is_core_host.get() {
                 self.router.process.clock.sleep(CORE_POLL_INTERVAL).await;
                 continue;
             }
@@ -124,7 +126,7 @@
     pub(crate) async fn send_free_slots(self: Rc<Self>) {
         loop {
             self.router.process.clock.sleep(FREE_SLOTS_INTERVAL).await;
-            if !self.router.source.core.get() {
+            if !self.router.source.is_core_host.get() {
                 continue;
             }
             let free = scheduling::free_slots(&self.router);
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -37,7 +37,7 @@
 /// Time for which a leader that stepped down does not campaign again.
 const STEP_DOWN_PAUSE: Millis = Millis(1_000);
 
-/// Time between two checks whether there is a leader.
+/// Time between two checks for a leader.
 const LEADER_CHECK_INTERVAL: Millis = Millis(100);
 
 /// Campaigns whenever there is no leader, and leads after each election that this host wins.
@@ -47,7 +47,7 @@
         if router.process.stop.is_cancelled() {
             return;
         }
-        let core = router.source.core.get();
+        let core = router.source.is_core_host.get();
         let may_campaign =
             core && router.view.borrow().read_revision(LIVE).is_some() && router.store_up.get();
         if !may_campaign || router.view.borrow().own(LEADER).is_some() {
@@ -87,7 +87,7 @@
     }
 }
 
-fn leader_key() -> String {
+fn leader_store_key() -> String {
     format!("{OWN_PREFIX}{LEADER}")
 }
 
@@ -96,8 +96,8 @@
     let ttl = ELECTION_LEASE.max(router.boot().store.min_lease);
     let lease = store_call(router, "open_lease", router.store.open_lease(ttl)).await?;
     let name = router.boot().host.clone();
-    let txn = Txn::default().expect(&leader_key(), 0).put_leased(
-        &leader_key(),
+    let txn = Txn::default().expect(&leader_store_key(), 0).put_leased(
+        &leader_store_key(),
         name.as_str().as_bytes(),
         lease.id,
     );
@@ -138,7 +138,7 @@
         Rc::clone(router),
         Rc::clone(leadership),
         term,
-        leader_key(),
+        leader_store_key(),
     ));
     let reason = hold_leadership(router, leadership, term, lease).await;
     leadership.term.set(0);
--- a/crates/chicoryrail-router/src/control/leader/key_calls.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_calls.rs
@@ -19,15 +19,16 @@
 
 use crate::control::config_feed::follow::store_call;
 use crate::control::leader::key_leader::KeyLeader;
-use crate::control::leader::key_leader::record_key;
+use crate::control::leader::key_leader::record_store_key;
 
-/// Pause after a record write with an indeterminate outcome.
-const CALL_RETRY_INTERVAL: Millis = Millis(150);
+/// Delay before a record write with an indeterminate outcome may be retried.
+const COMMIT_RETRY_DELAY: Millis = Millis(150);
 
 impl KeyLeader {
-    /// Writes a record to the store. The term ends if the store refuses the write.
+    /// Writes a record to the store and applies the outcome: after an outage error the write is due again, and any
+    /// other error ends the term.
     pub(super) async fn commit(self: Rc<Self>, record: KeyRecord) {
-        let key = record_key(&self.service);
+        let key = record_store_key(&self.service);
         let written = self.write(&key, &record).await;
         let now = self.router.now();
         match written {
@@ -42,7 +43,7 @@
             }
             Err(e) if e.is_outage() => {
                 log::info!(service:% = self.service, error:% = e; "keys_write_unsettled");
-                self.router.process.clock.sleep(CALL_RETRY_INTERVAL).await;
+                self.router.process.clock.sleep(COMMIT_RETRY_DELAY).await;
             }
             Err(e) => {
                 log::warn!(service:% = self.service, error:% = e; "keys_not_written");
@@ -61,13 +62,14 @@
 
     /// Writes the record on condition that this host still leads and the record is unchanged; returns the revision.
     ///
-    /// If the reply to a write was lost, the record is read again: its `attempt` shows whether it is this write.
+    /// After a lost reply, and after a conflict that an earlier write of the same record with a lost reply may have
+    /// caused, the record is read again: its `attempt` shows whether it is this write.
     async fn write(&self, key: &str, record: &KeyRecord) -> Result<u64, StoreError> {
         let value = serde_json::to_vec(record).map_err(|e| StoreError::Refused {
             message: e.to_string(),
         })?;
         let txn = Txn::default()
-            .expect(&self.leader_key, self.term)
+            .expect(&self.leader_store_key, self.term)
             .expect(key, self.revision.get())
             .put(key, &value);
         let store = &self.router.store;
@@ -89,30 +91,32 @@
 
     /// Sends a grant to a server and records its outcome.
     pub(super) async fn grant(self: Rc<Self>, life: Life, addr: SocketAddr, grant: KeyGrant) {
-        let limit = KeyTiming::default().grant_timeout;
+        let timeout = KeyTiming::default().grant_timeout;
         let (stored, invariants) = (self.stored_fence.get(), &self.router.process.invariants);
         invariants.check(Invariant::StoredFirst, grant.fence <= stored, || {
             format!("fence={} stored={stored}", grant.fence)
         });
         let control = &self.router.control;
         let started = Instant::now();
-        // This task runs after the one that started it. If the process was suspended in between, another host may
+        // This task may run some time after it was spawned. If the process was suspended meanwhile, another host may
         // lead by now, and that leader does not account for a grant that is sent this late.
         let result = if self.leadership.may_act(&self.router) {
-            control.grant(addr, &life.name, &grant, limit).await
+            control.grant(addr, &life.name, &grant, timeout).await
         } else {
+            // Reported like a grant without an answer: the other outcomes make a statement about the server.
             let reason = "not sent: leadership is no longer confirmed".to_owned();
             Err(KeyError::NoResponse { reason })
         };
-        let (end, name) = match &result {
+        let (outcome, name) = match &result {
             Ok(()) => (GrantOutcome::Granted, "held"),
             Err(KeyError::StaleFence) => (GrantOutcome::StaleFence, "fence_old"),
             Err(KeyError::OtherServer) => (GrantOutcome::WrongServer, "other_server"),
+            // A refusal for any other reason counts as no answer.
             Err(KeyError::NoResponse { .. } | KeyError::Refused { .. }) => {
                 (GrantOutcome::NoAnswer, "silent")
             }
         };
-        self.count("grant", name, started);
+        self.record_call_metrics("grant", name, started);
         if let Err(e) = &result {
             log::info!(server:% = life, service:% = self.service, fence = grant.fence,
                 error:% = e; "grant_{name}");
@@ -126,7 +130,7 @@
             last: grant.last,
         };
         let mut leases = self.leases.borrow_mut();
-        leases.grant_finished(now, &life, span, grant.fence, end);
+        leases.grant_finished(now, &life, span, grant.fence, outcome);
         self.call_ended.notify();
     }
 
@@ -141,31 +145,31 @@
     }
 
     /// Sends a release to a server and records its outcome.
-    pub(super) async fn release(self: Rc<Self>, life: Life, addr: SocketAddr, grant: KeyGrant) {
-        let limit = KeyTiming::default().release_timeout;
+    pub(super) async fn release(self: Rc<Self>, life: Life, addr: SocketAddr, release: KeyGrant) {
+        let timeout = KeyTiming::default().release_timeout;
         let control = &self.router.control;
         let started = Instant::now();
-        let result = control.release(addr, &life.name, &grant, limit).await;
-        let (end, name) = match &result {
+        let result = control.release(addr, &life.name, &release, timeout).await;
+        let (outcome, name) = match &result {
             Ok(token) => (ReleaseOutcome::Released(token.clone()), "free"),
             Err(KeyError::OtherServer) => (ReleaseOutcome::WrongServer, "other_server"),
             Err(_) => (ReleaseOutcome::NoAnswer, "silent"),
         };
-        self.count("release", name, started);
-        log::info!(server:% = life, service:% = self.service, fence = grant.fence,
-            first = grant.first, last = grant.last; "release_{name}");
+        self.record_call_metrics("release", name, started);
+        log::info!(server:% = life, service:% = self.service, fence = release.fence,
+            first = release.first, last = release.last; "release_{name}");
         let now = self.router.now();
         let span = KeyRange {
-            first: grant.first,
-            last: grant.last,
+            first: release.first,
+            last: release.last,
         };
         self.leases
             .borrow_mut()
-            .release_finished(now, &life, span, end);
+            .release_finished(now, &life, span, outcome);
         self.call_ended.notify();
     }
 
-    fn count(&self, call: &str, result: &str, started: Instant) {
+    fn record_call_metrics(&self, call: &str, result: &str, started: Instant) {
         let counters = &self.router.counters;
         counters.key_calls.with_label_values(&[call, result]).inc();
         let seconds = started.elapsed().as_secs_f64();
--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -1,4 +1,4 @@
-//! Assigns and renews the keys of keyed services while this host leads.
+//! Assigns the keys of keyed services to servers, and renews the key leases, while this host leads.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -25,20 +25,22 @@
 use crate::control::scheduling;
 use crate::state::Router;
 
-/// Time between two checks for due actions, while assignments change and while they don't.
-const BUSY_CHECK_INTERVAL: Millis = Millis(10);
-const CALM_CHECK_INTERVAL: Millis = Millis(50);
+/// Time between two checks for due actions while a change of the assignment is pending.
+const PENDING_CHECK_INTERVAL: Millis = Millis(10);
 
-/// Time after a store outage in which servers may still own keys by a grant from it: the TTL of such a grant (10 s)
-/// and the time of a renewal in flight.
-const OUTAGE_MEMORY: Millis = Millis(12_500);
+/// Time between two checks for due actions while no change is pending, and between two checks for new keyed services.
+const IDLE_CHECK_INTERVAL: Millis = Millis(50);
 
-/// Leader of one service's keys for one term.
+/// Time after a store outage until the last grant made during it has expired: the duration of such a grant
+/// ([`KeyTiming::outage_lease`], 10 s), and the time of a renewal that was in flight.
+const OUTAGE_GRANT_EXPIRY: Millis = Millis(12_500);
+
+/// Assigns the keys of one service for one term.
 pub(super) struct KeyLeader {
     pub(super) router: Rc<Router>,
     pub(super) leadership: Rc<LeaderTerm>,
     pub(super) term: u64,
-    pub(super) leader_key: String,
+    pub(super) leader_store_key: String,
     pub(super) service: ServiceName,
     pub(super) leases: RefCell<KeyLeases>,
     /// Store revision of the record.
@@ -47,8 +49,9 @@
     pub(super) last_grants: RefCell<BTreeMap<Life, Millis>>,
     /// Fencing token of the record in the store.
     pub(super) stored_fence: Cell<u64>,
-    /// When the assignment was last changed; at first, when this leader took it over.
-    pub(super) balanced_at: Cell<Millis>,
+    /// When the assignment, or its list of former owners, was last changed; at first, when this leader took it over.
+    pub(super) last_change_at: Cell<Millis>,
+    /// Whether a write of the record is in progress; at most one runs at a time.
     pub(super) committing: Cell<bool>,
     /// Notified when a call to the store or a server has ended.
     pub(super) call_ended: ChangeSignal,
@@ -59,7 +62,7 @@
     router: Rc<Router>,
     leadership: Rc<LeaderTerm>,
     term: u64,
-    leader_key: String,
+    leader_store_key: String,
 ) {
     let mut started: BTreeMap<ServiceName, ()> = BTreeMap::new();
     while leadership.term.get() == term {
@@ -71,7 +74,7 @@
             if started.contains_key(&service) {
                 continue;
             }
-            match take_over(&router, &leadership, term, &leader_key, &service).await {
+            match take_over(&router, &leadership, term, &leader_store_key, &service).await {
                 Ok(leader) => {
                     started.insert(service, ());
                     monoio::spawn(Rc::new(leader).run());
@@ -79,11 +82,11 @@
                 Err(e) => log::warn!(service:% = service, error:% = e; "keys_not_read"),
             }
         }
-        router.process.clock.sleep(CALM_CHECK_INTERVAL).await;
+        router.process.clock.sleep(IDLE_CHECK_INTERVAL).await;
     }
 }
 
-pub(super) fn record_key(service: &ServiceName) -> String {
+pub(super) fn record_store_key(service: &ServiceName) -> String {
     format!("{OWN_PREFIX}{}", store_key::record_key(service))
 }
 
@@ -96,13 +99,13 @@
     router: &Rc<Router>,
     leadership: &Rc<LeaderTerm>,
     term: u64,
-    leader_key: &str,
+    leader_store_key: &str,
     service: &ServiceName,
 ) -> Result<KeyLeader, StoreError> {
     let item = store_call(
         router,
         "read_record",
-        router.store.item(&record_key(service)),
+        router.store.item(&record_store_key(service)),
     )
     .await?;
     let revision = item.as_ref().map_or(0, |i| i.revision);
@@ -116,20 +119,20 @@
         spans = record.spans.len(), loose = record.loose.len(); "keys_taken_over");
     let now = router.now();
     let stored_fence = record.fence;
-    let after_outage = router.store_was_down(now, OUTAGE_MEMORY);
+    let after_outage = router.store_was_down(now, OUTAGE_GRANT_EXPIRY);
     let timing = KeyTiming::default();
     let leases = KeyLeases::take_over(record, timing, now, rand::random(), after_outage);
     Ok(KeyLeader {
         router: Rc::clone(router),
         leadership: Rc::clone(leadership),
         term,
-        leader_key: leader_key.to_owned(),
+        leader_store_key: leader_store_key.to_owned(),
         service: service.clone(),
         leases: RefCell::new(leases),
         revision: Cell::new(revision),
         last_grants: RefCell::default(),
         stored_fence: Cell::new(stored_fence),
-        balanced_at: Cell::new(now),
+        last_change_at: Cell::new(now),
         committing: Cell::new(false),
         call_ended: ChangeSignal::default(),
     })
@@ -139,11 +142,11 @@
     async fn run(self: Rc<Self>) {
         let mut announced = None;
         while self.leadership.term.get() == self.term {
-            let ended = self.call_ended.version();
-            let outage = self.router.store_down_everywhere(self.router.now());
-            self.leases.borrow_mut().set_store_down(outage);
+            let seen = self.call_ended.version();
+            let store_down = self.router.store_down_everywhere(self.router.now());
+            self.leases.borrow_mut().set_store_down(store_down);
             self.update_servers();
-            self.check_reachability();
+            self.request_step_down_if_unreachable();
             self.plan();
             // Checked right before the calls are sent: a process that was suspended must not act on outdated state.
             if self.leadership.may_act(&self.router) {
@@ -157,20 +160,21 @@
                 return;
             }
             if !changing {
-                self.router.process.clock.sleep(CALM_CHECK_INTERVAL).await;
+                self.router.process.clock.sleep(IDLE_CHECK_INTERVAL).await;
                 continue;
             }
-            // The end of a call wakes this loop at once: after a loss of power on all hosts, each range waits for the
-            // call for the range before it, and a pause after each call would add up.
+            // Each server is sent one grant at a time. When all ranges must be granted anew, as after a loss of power
+            // on all hosts, a pause after each call would add up, so the end of a call wakes this loop at once.
             let _ = timeout(
-                BUSY_CHECK_INTERVAL.to_duration(),
-                self.call_ended.wait_past(ended),
+                PENDING_CHECK_INTERVAL.to_duration(),
+                self.call_ended.wait_past(seen),
             )
             .await;
         }
     }
 
-    /// Applies a changed record and its ungranted ranges on this host, and schedules their announcement to the others.
+    /// Applies a changed record, with the ranges that are not granted yet, on this host, and hands both to the
+    /// heartbeats for the other hosts.
     fn announce(&self, announced: &mut Option<(u64, Vec<KeyRange>)>) {
         let leases = self.leases.borrow();
         let update = (leases.record().fence, leases.ungranted_keys());
@@ -178,25 +182,25 @@
             return;
         }
         *announced = Some(update.clone());
-        let (fence, blocked) = update;
-        log::info!(service:% = self.service, fence = fence, blocked = blocked.len(),
-            keys:? = blocked.iter().map(|s| s.len()).sum::<u32>(); "keys_blocked");
+        let (fence, ungranted) = update;
+        log::info!(service:% = self.service, fence = fence, blocked = ungranted.len(),
+            keys:? = ungranted.iter().map(|s| s.len()).sum::<u32>(); "keys_blocked");
         let service = self.router.service(&self.service);
         self.router
             .apply_key_record(&service, leases.record().clone());
         service
             .keys
             .borrow_mut()
-            .apply_blocked(fence, blocked.clone());
+            .apply_blocked(fence, ungranted.clone());
         scheduling::redirect_moved_keys(&self.router, &service);
         service.changed.notify();
         let mut updates = self.leadership.key_updates.borrow_mut();
-        updates.insert(self.service.clone(), (leases.record().clone(), blocked));
+        updates.insert(self.service.clone(), (leases.record().clone(), ungranted));
         drop(updates);
         self.leadership.changed.notify();
     }
 
-    /// Updates the servers' addresses, and ends the key leases of server starts that a later start replaced.
+    /// Updates the servers' addresses, and ends the key leases of server incarnations that a newer one has replaced.
     fn update_servers(&self) {
         let now = self.router.now();
         let mut leases = self.leases.borrow_mut();
@@ -211,9 +215,9 @@
         }
     }
 
-    /// Steps down if another host reaches servers that this one does not. During a store outage the leader stays,
-    /// since no other host could take over.
-    fn check_reachability(&self) {
+    /// Requests that this host steps down if another host reaches servers that this one does not. During a store outage
+    /// the leader stays, since no other host could take over.
+    fn request_step_down_if_unreachable(&self) {
         if !self.router.store_up.get() {
             return;
         }
@@ -268,14 +272,15 @@
                     fence,
                 } => {
                     self.leases.borrow_mut().release_sent(&life, span);
-                    let grant = key_grant(span, fence, Millis::ZERO, None);
-                    monoio::spawn(Rc::clone(self).release(life, addr, grant));
+                    let release = key_grant(span, fence, Millis::ZERO, None);
+                    monoio::spawn(Rc::clone(self).release(life, addr, release));
                 }
             }
         }
     }
 }
 
+/// Builds the content of a grant, or of a release, which has the same form.
 fn key_grant(span: KeyRange, fence: u64, duration: Millis, handover: Option<String>) -> KeyGrant {
     KeyGrant {
         first: span.first,
--- a/crates/chicoryrail-router/src/control/leader/leader_term.rs
+++ b/crates/chicoryrail-router/src/control/leader/leader_term.rs
@@ -15,7 +15,7 @@
 use crate::messages::ServerPace;
 use crate::state::Router;
 
-/// Share of the lease's TTL, in percent, for which a leader relies on its last confirmed renewal.
+/// Fraction of the lease's TTL, in percent, for which a leader relies on its last confirmed renewal.
 const LEASE_TRUSTED_PERCENT: u64 = 80;
 
 /// Age up to which a leader that can't reach the store counts the other hosts' last heartbeats: three heartbeat
@@ -38,6 +38,7 @@
     pub(crate) key_updates: RefCell<BTreeMap<ServiceName, (KeyRecord, Vec<KeyRange>)>>,
     /// Notified when `key_updates` or the leadership changes.
     pub(crate) changed: ChangeSignal,
+    /// Load of each service by key.
     key_loads: RefCell<BTreeMap<ServiceName, KeyLoad>>,
     /// Service rates of servers, as reported by the hosts that schedule for them.
     service_rates: RefCell<BTreeMap<Life, ServerPace>>,
--- a/crates/chicoryrail-router/src/control/leader/plan_keys.rs
+++ b/crates/chicoryrail-router/src/control/leader/plan_keys.rs
@@ -42,7 +42,7 @@
         let candidates = self.candidates(now);
         // After an outage, former owners that can't be reached keep their key leases for many seconds. The load of the
         // others is balanced meanwhile; otherwise a range that becomes busy would overload its server for that time.
-        let moves = match now.since(self.balanced_at.get()) {
+        let moves = match now.since(self.last_change_at.get()) {
             since if since >= BALANCE_INTERVAL => Moves::Balance,
             since if since >= RELIEF_INTERVAL => Moves::Urgent,
             _ => Moves::Required,
@@ -51,17 +51,17 @@
             Plan::compute(self.leases.borrow().record(), &candidates, load, moves)
         });
         if let Plan::Change(spans) = plan {
-            self.balanced_at.set(now);
+            self.last_change_at.set(now);
             let services = self.router.services();
             let is_known = |life: &Life| services.iter().any(|s| s.target(life).is_some());
             self.leadership.retain_service_rates(is_known);
             log::info!(service:% = self.service, servers = candidates.len(),
                 spans = spans.len(), fence = self.leases.borrow().record().fence; "keys_planned");
             self.leases.borrow_mut().begin_change(spans, rand::random());
-        } else if now.since(self.balanced_at.get()) >= MERGE_INTERVAL
+        } else if now.since(self.last_change_at.get()) >= MERGE_INTERVAL
             && self.leases.borrow().has_stale_former_owners()
         {
-            self.balanced_at.set(now);
+            self.last_change_at.set(now);
             let spans = self.leases.borrow().record().spans.clone();
             self.leases.borrow_mut().begin_change(spans, rand::random());
         }
--- a/crates/chicoryrail-router/src/control/membership/source.rs
+++ b/crates/chicoryrail-router/src/control/membership/source.rs
@@ -23,19 +23,23 @@
 /// start by watching the store.
 const PEER_DISCOVERY_TIME: Millis = Millis(150);
 
-/// Time without a reply from any core host after which a leaf host watches the store itself, and the largest random
-/// addition to it. The addition spreads the calls of leaf hosts that lost their relays at the same time.
+/// Time without a reply from any core host after which a leaf host watches the store itself.
 const RELAY_SILENCE_MAX: Millis = Millis(1_500);
+
+/// Largest random addition to [`RELAY_SILENCE_MAX`]. It spreads the calls of leaf hosts that lost their relays at the
+/// same time.
 const RELAY_SILENCE_JITTER: Millis = Millis(1_000);
 
-/// At the first start of all hosts, the largest random delay before a host reads the list of core hosts, and the
-/// further delay of weak hosts. The strong hosts are listed by then.
+/// Largest random delay before a host reads the list of core hosts at the first start of all hosts.
 const FIRST_START_JITTER: Millis = Millis(500);
+
+/// Further delay of weak hosts at the first start; the strong hosts are listed by then.
 const FIRST_START_WEAK_DELAY: Millis = Millis(1_000);
 
-/// Least time between two checks of a host outside the core whether more core hosts are needed, and the largest random
-/// addition to it.
+/// Minimum time between two checks by a leaf host whether more core hosts are needed.
 const CORE_CHECK_INTERVAL: Millis = Millis(1_000);
+
+/// Largest random addition to [`CORE_CHECK_INTERVAL`].
 const CORE_CHECK_JITTER: Millis = Millis(2_000);
 
 /// Pause after a failed read of the core hosts.
@@ -49,7 +53,7 @@
         let source = preferred_source(&router, relay_timeout);
         let state = &router.source;
         if state.source.get() != source {
-            log::info!(source:? = source, core = state.core.get(); "source");
+            log::info!(source:? = source, core = state.is_core_host.get(); "source");
             state.source.set(source);
             state.changed.notify();
         }
@@ -60,13 +64,13 @@
 fn preferred_source(router: &Router, relay_timeout: Millis) -> Source {
     let now = router.now();
     let state = &router.source;
-    let Some(core_known_at) = state.core_known_at.get() else {
+    let Some(core_hosts_read_at) = state.core_hosts_read_at.get() else {
         return Source::Unknown;
     };
     let peers = router.peers.borrow();
     let boot = router.boot();
-    if state.core.get() {
-        if now.since(core_known_at) < PEER_DISCOVERY_TIME {
+    if state.is_core_host.get() {
+        if now.since(core_hosts_read_at) < PEER_DISCOVERY_TIME {
             return Source::Unknown;
         }
         if peers.should_watch(now, (&boot.host, &router.host_state())) {
@@ -75,7 +79,7 @@
         let watcher = peers.select_watcher(now, &boot.host, &boot.dc);
         return watcher.map_or(Source::Store, Source::Relay);
     }
-    if now.since(state.last_reply.get().max(core_known_at)) > relay_timeout {
+    if now.since(state.last_relay_reply.get().max(core_hosts_read_at)) > relay_timeout {
         return Source::Store;
     }
     let relay = peers.select_core_host(now, &boot.host, &boot.dc);
@@ -125,14 +129,18 @@
     }
 }
 
-/// Reads the core hosts from the store; returns whether the call succeeded.
+/// Reads the core hosts from the store; returns `true` if the call succeeded.
 async fn read_core_hosts(router: &Rc<Router>) -> bool {
     match router.store.snapshot(&LIVE.prefix()).await {
         Ok(all) => {
             record_store_call(router, "snapshot", None);
             apply_snapshot(router, LIVE, &all);
-            let known_at = router.source.core_known_at.get().unwrap_or(router.now());
-            router.source.core_known_at.set(Some(known_at));
+            let known_at = router
+                .source
+                .core_hosts_read_at
+                .get()
+                .unwrap_or(router.now());
+            router.source.core_hosts_read_at.set(Some(known_at));
             true
         }
         Err(e) => {
--- a/crates/chicoryrail-router/src/control/quota/leases.rs
+++ b/crates/chicoryrail-router/src/control/quota/leases.rs
@@ -18,8 +18,10 @@
 use crate::messages::QuotaReports;
 use crate::state::Router;
 
-/// Time between two reports of a host to the leader, and the least time when an organisation's tokens run low.
+/// Time between two reports of a host to the leader.
 const REPORT_INTERVAL: Millis = Millis(100);
+
+/// Minimum time between two reports when an organisation's tokens run low.
 const REPORT_INTERVAL_LOW: Millis = Millis(20);
 
 /// Time between two checks whether there is a limit to report on.
@@ -104,7 +106,7 @@
 /// Reports this host's use of tokens to the leader at intervals, and sooner when an organisation's tokens run low.
 pub(crate) async fn report_quota_use(router: Rc<Router>, pools: Rc<QuotaPools>) {
     loop {
-        if !router.source.core.get() || !router.quota.has_limits() {
+        if !router.source.is_core_host.get() || !router.quota.has_limits() {
             router.process.clock.sleep(IDLE_INTERVAL).await;
             continue;
         }
@@ -117,7 +119,7 @@
 }
 
 async fn send_reports(router: &Rc<Router>, pools: &QuotaPools) {
-    let mut reports = router.quota.reports(router);
+    let mut reports = router.quota.take_due_reports(router);
     let leader = router.peers.borrow().leader_addr();
     // Sent even if it is empty: the report shows the leader that this host receives its grants.
     loop {
--- a/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
@@ -5,13 +5,13 @@
 use chicoryrail_core::Millis;
 use chicoryrail_ownership::SchedulerHost;
 
-use crate::control::scheduling::requests::poll;
+use crate::control::scheduling::requests::assign_waiting;
 use crate::messages::PartName;
 use crate::messages::ServerPace;
 use crate::state::Router;
 
-/// Time between two polls of waiting requests. It covers changes that no message reports to the scheduler: a server
-/// warms up, ends a pause, or is granted its keys.
+/// Time between two attempts to assign waiting requests. It covers changes that no message reports to the scheduler: a
+/// server warms up, ends a pause, or is granted its keys.
 const WAITING_POLL_INTERVAL: Millis = Millis(15);
 
 /// Time between two log lines on each scheduler's utilisation.
@@ -21,7 +21,7 @@
 /// are warming up, and that rate allows for two hosts that schedule for the same server.
 const RENDEZVOUS_INTERVAL: Millis = Millis(100);
 
-/// Polls the schedulers for waiting requests, and updates which servers this host schedules.
+/// Assigns waiting requests at intervals, and updates which servers this host schedules.
 pub(crate) async fn run_schedulers(router: Rc<Router>) {
     let mut logged = router.now();
     let mut evaluated = (Millis::ZERO, 0);
@@ -35,7 +35,7 @@
             log_schedulers(&router);
         }
         for part in waiting_parts(&router) {
-            poll(&router, &part);
+            assign_waiting(&router, &part);
         }
     }
 }
--- a/crates/chicoryrail-router/src/control/scheduling/overflow.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/overflow.rs
@@ -6,7 +6,7 @@
 use chicoryrail_ownership::SchedulerHost;
 use chicoryrail_policy::Scheduler;
 
-use crate::control::scheduling::part_schedulers::remove_query;
+use crate::control::scheduling::part_schedulers::remove_request;
 use crate::control::scheduling::part_schedulers::reply_to;
 use crate::control::scheduling::part_schedulers::sync_servers;
 use crate::messages::PartName;
@@ -36,7 +36,7 @@
     let Some(dc) = router.schedulers.take_free_slot(router.now(), &query.part) else {
         return false;
     };
-    remove_query(router, &query.part, query.ticket);
+    remove_request(router, &query.part, query.ticket);
     reply_to(router, from, query.ticket, SlotReply::Overflow(dc));
     true
 }
--- a/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/part_schedulers.rs
@@ -1,4 +1,4 @@
-//! The part schedulers of this host: their servers, their pending queries, and replies.
+//! The schedulers of parts on this host: their servers, their queued requests, and replies.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,19 +14,20 @@
 use crate::state::Router;
 use crate::state::Service;
 
-/// Removes a request from its scheduler and returns its token: the caller has cancelled it, or it goes elsewhere.
-pub(super) fn remove_query(router: &Router, part: &PartName, ticket: u64) {
+/// Removes a request that is not assigned to a server from its scheduler, and gives back its quota token.
+pub(super) fn remove_request(router: &Router, part: &PartName, ticket: u64) {
     if let Some(scheduler) = router.schedulers.by_part.borrow_mut().get_mut(part) {
         scheduler.cancel(ticket);
     }
     remove_origin(router, ticket);
 }
 
-/// Removes the origin of a request that this host does not assign to a server, and returns its token to the quota.
+/// Removes and returns the origin of a request that this host does not assign to a server, and gives back its quota
+/// token.
 pub(super) fn remove_origin(router: &Router, ticket: u64) -> Option<QueryOrigin> {
     let origin = router.schedulers.origins.borrow_mut().remove(&ticket)?;
     if let Some(organisation) = &origin.token {
-        router.quota.return_token(organisation);
+        router.quota.refund_token(organisation);
     }
     Some(origin)
 }
@@ -65,7 +66,7 @@
             warmup_until: target.warmup_until.get(),
             warmup_rate_max: warmup_bound,
             rate_limit: target.limit.get().rate(now),
-            dc_index: router.schedulers.dc_number(&target.dc),
+            dc_index: router.schedulers.dc_index(&target.dc),
             scheduled_here: target.scheduled_here.get().unwrap_or(false),
         };
         scheduler.update_server(now, target.id, state);
--- a/crates/chicoryrail-router/src/control/scheduling/requests.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/requests.rs
@@ -1,5 +1,5 @@
-//! Handles slot queries and ends of requests for the parts that this host schedules, and replies with the schedulers'
-//! decisions.
+//! Handles slot queries and ends of requests for the scheduling partitions (parts) that this host schedules, and
+//! replies with the schedulers' decisions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use crate::control::scheduling::overflow;
 use crate::control::scheduling::part_schedulers::refresh_servers;
 use crate::control::scheduling::part_schedulers::remove_origin;
-use crate::control::scheduling::part_schedulers::remove_query;
+use crate::control::scheduling::part_schedulers::remove_request;
 use crate::control::scheduling::part_schedulers::reply_to;
 use crate::control::scheduling::tokens::take_token;
 use crate::messages::Packet;
@@ -31,15 +31,15 @@
 use crate::state::Router;
 use crate::state::Service;
 
-/// Handles a packet for the host that schedules; `from` is `None` if this host sent it itself.
+/// Handles a packet that is addressed to this host as a scheduler; `from` is `None` if this host sent it itself.
 ///
-/// Any host that receives a query schedules the request: hosts whose views of the others differ select different
-/// schedulers for a moment.
+/// A host does not check that it is the right scheduler for a query: hosts whose views of the others differ select
+/// different schedulers for a moment, and any host that receives a query schedules the request.
 pub(crate) fn handle_packet(router: &Rc<Router>, packet: &Packet, from: Option<SocketAddr>) {
     match packet {
         Packet::SlotQuery(query) => handle_query(router, query, from),
         Packet::SlotEnd(end) => handle_end(router, end),
-        Packet::Leave { part, ticket } => remove_query(router, part, *ticket),
+        Packet::Leave { part, ticket } => remove_request(router, part, *ticket),
         Packet::Rooms(parts) => {
             for part in parts {
                 router.schedulers.record_free_slots(router.now(), part);
@@ -70,11 +70,12 @@
         work_us: query.work_us as f64,
         key: query.key,
         excluded: excluded.collect(),
-        dc_index: router.schedulers.dc_number(&query.dc),
+        dc_index: router.schedulers.dc_index(&query.dc),
         large_response: query.large,
     };
-    if let Some(key) = query.key.filter(|_| !is_pending(router, query.ticket)) {
-        service.record_key(key);
+    // A repeated query for a queued request is no new demand for its key.
+    if let Some(key) = query.key.filter(|_| !is_queued(router, query.ticket)) {
+        service.record_key_demand(key);
     }
     let assigned = {
         let mut schedulers = router.schedulers.by_part.borrow_mut();
@@ -100,6 +101,7 @@
         return;
     }
     refresh_servers(router, &query.part);
+    // A request is redirected for lack of a free slot at most once.
     let may_overflow = query.part.dc.is_some() && !query.overflows;
     if may_overflow
         && !overflow::has_free_slot(router, &query.part)
@@ -118,8 +120,8 @@
     }
 }
 
-/// Returns `true` if an earlier query for a request is still pending here.
-fn is_pending(router: &Router, ticket: u64) -> bool {
+/// Returns `true` if a request is queued here since an earlier query.
+fn is_queued(router: &Router, ticket: u64) -> bool {
     router.schedulers.origins.borrow().contains_key(&ticket)
 }
 
@@ -157,12 +159,13 @@
     if let Some(scheduler) = router.schedulers.by_part.borrow_mut().get_mut(&end.part) {
         scheduler.release(now, &release);
     }
-    poll(router, &end.part);
+    assign_waiting(router, &end.part);
 }
 
 /// Redirects waiting requests after their keys moved to a server that another host schedules.
 ///
-/// If this host assigned them to that server, they would exceed the slots that the other host accounts for.
+/// The other host does not know of requests that this host assigns to that server, so together they could use more than
+/// its slots.
 pub(crate) fn redirect_moved_keys(router: &Rc<Router>, service: &Service) {
     let part = PartName::unpartitioned(&service.name);
     let elsewhere: Vec<u64> = {
@@ -187,13 +190,13 @@
     }
 }
 
-/// Updates a part's servers, and decides its waiting requests where possible.
-pub(super) fn poll(router: &Rc<Router>, part: &PartName) {
+/// Updates a part's servers, and decides on its waiting requests where possible.
+pub(super) fn assign_waiting(router: &Rc<Router>, part: &PartName) {
     refresh_servers(router, part);
     decide(router, part);
 }
 
-/// Decides a part's waiting requests where possible, and replies to the hosts that sent the queries.
+/// Decides on a part's waiting requests where possible, and replies to the hosts that sent the queries.
 fn decide(router: &Rc<Router>, part: &PartName) {
     let now = router.now();
     let service = router.service(&part.service);
@@ -221,12 +224,14 @@
         Decision::Refuse(after) => SlotReply::Refuse(after.0),
         Decision::Send(id) => {
             let targets = service.targets.borrow();
+            // No reply is sent if the server is no longer known.
             let Some(target) = targets.values().find(|t| t.id == id) else {
                 return;
             };
             SlotReply::Send(target.life.clone())
         }
     };
+    // A request that is sent keeps its quota token; any other gives it back.
     let origin = match reply {
         SlotReply::Send(_) => router.schedulers.origins.borrow_mut().remove(&ticket),
         _ => remove_origin(router, ticket),
--- a/crates/chicoryrail-router/src/control/scheduling/tokens.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/tokens.rs
@@ -6,7 +6,7 @@
 use chicoryrail_core::Millis;
 use chicoryrail_core::OrganisationName;
 
-use crate::control::scheduling::part_schedulers::remove_query;
+use crate::control::scheduling::part_schedulers::remove_request;
 use crate::control::scheduling::part_schedulers::reply_to;
 use crate::messages::SlotQuery;
 use crate::messages::SlotReply;
@@ -18,12 +18,13 @@
 
 /// Takes a token for a new request; returns the organisation whose token the request has, if any.
 ///
-/// A request that this host knows keeps its token, and one that is already `assigned` to a server needs none.
+/// A request that is already queued here has its token, and one that is already `assigned` to a server has taken its
+/// token before.
 ///
 /// # Errors
 ///
-/// Returns [`NoToken`] if there is none. The request is then removed, and the reply to `from` is either to query again
-/// or a refusal with the time until a token may be available.
+/// Returns [`NoToken`] if there is none. The request is then removed, and the reply to `from` is either `Waits`, upon
+/// which the host repeats the query, or a refusal with the time until a token may be available.
 pub(super) fn take_token(
     router: &Rc<Router>,
     query: &SlotQuery,
@@ -47,7 +48,7 @@
             SlotReply::OverQuota(after.0)
         }
     };
-    remove_query(router, &query.part, query.ticket);
+    remove_request(router, &query.part, query.ticket);
     reply_to(router, from, query.ticket, reply);
     Err(NoToken)
 }
--- a/crates/chicoryrail-router/src/log_line.rs
+++ b/crates/chicoryrail-router/src/log_line.rs
@@ -20,7 +20,7 @@
     let started = env_logger::Builder::from_env(env)
         .format(move |_, record| {
             let of_request = record.key_values().get(kv::Key::from("request")).is_some();
-            sink.write_line(line(&host, record).as_bytes(), of_request);
+            sink.write_line(format_line(&host, record).as_bytes(), of_request);
             Ok(())
         })
         .target(env_logger::Target::Pipe(Box::new(io::sink())))
@@ -31,7 +31,7 @@
 }
 
 /// Formats a record as a log line.
-fn line(host: &HostName, record: &log::Record<'_>) -> String {
+fn format_line(host: &HostName, record: &log::Record<'_>) -> String {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     let time = time.map_or(0.0, |d| d.as_secs_f64());
     let mut text = format!(
--- a/crates/chicoryrail-router/src/messages/packet.rs
+++ b/crates/chicoryrail-router/src/messages/packet.rs
@@ -40,7 +40,7 @@
     Rooms(Vec<PartRoom>),
     /// Use of organisations' rate limits by a scheduler, for the leader.
     QuotaReports(QuotaReports),
-    /// Rate-limit tokens of organisations, granted by the leader.
+    /// Quota tokens of organisations, granted by the leader.
     QuotaGrants(QuotaGrants),
 }
 
@@ -158,7 +158,7 @@
 /// Decision of a scheduler on a slot query.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum SlotReply {
-    /// The request is queued at the scheduler.
+    /// The request is queued at the scheduler, or must be queried again later for lack of a quota token.
     Waits,
     /// The request has a slot at this server.
     Send(Life),
--- a/crates/chicoryrail-router/src/messages/part.rs
+++ b/crates/chicoryrail-router/src/messages/part.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Returns whether the servers of a data centre belong to the part.
+    /// Returns `true` if the servers of a data centre belong to the part.
     pub(crate) fn contains(&self, dc: &DcName) -> bool {
         self.dc.as_ref().is_none_or(|own| own == dc)
     }
--- a/crates/chicoryrail-router/src/messages/quota_message.rs
+++ b/crates/chicoryrail-router/src/messages/quota_message.rs
@@ -7,7 +7,7 @@
 use chicoryrail_policy::QuotaGrant;
 use chicoryrail_policy::QuotaReport;
 
-/// Report of a scheduler on its rate-limit tokens.
+/// Report of a scheduler on its quota tokens.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct QuotaReports {
     pub(crate) host: HostName,
@@ -17,7 +17,7 @@
     pub(crate) reports: Vec<(OrganisationName, QuotaReport)>,
 }
 
-/// Rate-limit tokens that the leader grants to a host.
+/// Quota tokens that the leader grants to a host.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct QuotaGrants {
     /// Term of the leader.
--- a/crates/chicoryrail-router/src/messages/relay_message.rs
+++ b/crates/chicoryrail-router/src/messages/relay_message.rs
@@ -64,8 +64,8 @@
 pub(crate) struct ConfigAge {
     /// Age when the reply was written.
     pub(crate) age_ms: u64,
-    /// Time from the arrival of the request until the reply was written. The requesting host can rely on it that the
-    /// reply was written no earlier than this time after it sent the request.
+    /// Time from the arrival of the request until the reply was written. So the reply was
+    /// written no earlier than this time after the request was sent.
     pub(crate) held_ms: u64,
 }
 
--- a/crates/chicoryrail-router/src/messages/socket.rs
+++ b/crates/chicoryrail-router/src/messages/socket.rs
@@ -1,4 +1,4 @@
-//! UDP socket for messages between hosts.
+//! Sending and receiving of datagrams between hosts.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Returns how long to wait for the response to this attempt. An idempotent request without a key is cancelled at an
-    /// unresponsive server while there is time for another one, but not before twice the latency target.
+    /// Returns how long to wait for the response to this attempt. An idempotent request without a key is cancelled at
+    /// an unresponsive server while there is time for another one, but not before twice the latency target.
     fn attempt_timeout(&self) -> Millis {
         let left = self.call.time_left(self.router.now());
         let has_alternative = self.call.is_idempotent()
@@ -213,7 +213,7 @@
             .min(left)
     }
 
-    /// Returns whether the request may be sent again. If the last send reached a server (`reached_server`), the next
+    /// Returns `true` if the request may be sent again. If the last send reached a server (`reached_server`), the next
     /// one is a retry and consumes the retry budget.
     fn may_retry(&self, reached_server: bool) -> bool {
         let not_run = self.possible_runs == 0;
--- a/crates/chicoryrail-router/src/route/caller.rs
+++ b/crates/chicoryrail-router/src/route/caller.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Returns whether a pipelined request may start before the earlier requests on its connection have their responses.
+/// Returns `true` if a pipelined request may start before the earlier requests on its connection have their responses.
 ///
 /// Only reads may: their short responses are kept in memory until their turn. An order could run although its caller,
 /// disconnected before the order's turn, sends it again. A download would occupy its server's slot until its turn.
@@ -258,7 +258,7 @@
     }
 }
 
-/// Returns whether a request that succeeded in time is in the logged sample, one in `--log-ordinary`, selected by a
+/// Returns `true` if a request that succeeded in time is in the logged sample, one in `--log-ordinary`, selected by a
 /// hash of its id. 0 logs none.
 fn is_sampled(router: &Router, call: &CallerRequest) -> bool {
     let sample_interval = router.options.log_ordinary;
--- a/crates/chicoryrail-router/src/route/caller_request.rs
+++ b/crates/chicoryrail-router/src/route/caller_request.rs
@@ -130,7 +130,7 @@
         self.deadline.since(now)
     }
 
-    /// Returns whether the request may run more than once.
+    /// Returns `true` if the request may run more than once.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.route.kind.idempotency() == Idempotency::Idempotent
     }
--- a/crates/chicoryrail-router/src/run.rs
+++ b/crates/chicoryrail-router/src/run.rs
@@ -282,8 +282,8 @@
         .set(age.map_or(-1, |a| a.0 as i64));
 }
 
-/// Returns whether this host can serve callers: it has a configuration, and some service has a server that may receive
-/// requests. It can't if it may have missed revocations of API keys and is isolated from the other hosts.
+/// Returns `true` if this host can serve callers: it has a configuration, and some service has a server that may
+/// receive requests. It can't if it may have missed revocations of API keys and is isolated from the other hosts.
 fn can_serve(router: &Router) -> bool {
     let now = router.now();
     let known = router.site().is_some();
--- a/crates/chicoryrail-router/src/state/apply.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -90,8 +90,8 @@
         let view = self.view.borrow();
         if let Some(site) = view.site() {
             self.counters.config.set(site.version as i64);
-            if self.organisations.set(site) {
-                self.quota.set(site);
+            if self.organisations.apply_site(site) {
+                self.quota.apply_site(site);
             }
             let mut limits = self.limits.get();
             limits.max_head_bytes = site.limits.max_head;
--- a/crates/chicoryrail-router/src/state/counters.rs
+++ b/crates/chicoryrail-router/src/state/counters.rs
@@ -15,7 +15,7 @@
 const ORGANISATION_LABELS_MAX: usize = 200;
 const OTHER_LABEL: &str = "other";
 
-/// Prometheus metrics of the process.
+/// The counters, gauges and histograms that the process exports.
 #[derive(Debug)]
 pub(crate) struct Counters {
     /// Ended requests by service and outcome.
--- a/crates/chicoryrail-router/src/state/organisations.rs
+++ b/crates/chicoryrail-router/src/state/organisations.rs
@@ -1,4 +1,4 @@
-//! The organisations of the configuration in force, and this host's standalone shares of their rate limits.
+//! Lookup of organisations by API key, and rate limits for requests that no scheduler counts.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -17,12 +17,14 @@
 /// The organisations of the configuration in force, and this host's standalone shares of their rate limits.
 #[derive(Debug)]
 pub(crate) struct Organisations {
+    /// Random secret of the index.
     secret: [u8; 16],
     index: RefCell<ApiKeyIndex>,
     /// Version of the configuration from which the index was built.
     version: Cell<u64>,
     /// When the configuration was last verified to be current.
     freshness: Cell<Freshness>,
+    /// This host's share of each limit, for requests that no scheduler counts.
     standalone: RefCell<HashMap<OrganisationName, StandaloneShare>>,
 }
 
@@ -38,8 +40,8 @@
         }
     }
 
-    /// Applies the configuration in force. Returns whether its version differs from the one applied before.
-    pub(crate) fn set(&self, site: &Site) -> bool {
+    /// Applies the configuration in force. Returns `true` if its version differs from the one applied before.
+    pub(crate) fn apply_site(&self, site: &Site) -> bool {
         if self.version.replace(site.version) == site.version {
             return false;
         }
--- a/crates/chicoryrail-router/src/state/pending_queries.rs
+++ b/crates/chicoryrail-router/src/state/pending_queries.rs
@@ -1,4 +1,4 @@
-//! Slot queries of this host that await the scheduler's decision.
+//! Delivery of schedulers' decisions to the requests that wait for them.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -47,7 +47,7 @@
         self.pending.borrow_mut().remove(&ticket);
     }
 
-    /// Delivers a decision of the scheduler. Returns whether a query with this ticket is pending.
+    /// Delivers a decision of the scheduler. Returns `true` if a query with this ticket is pending.
     pub(crate) fn deliver(&self, ticket: u64, reply: SlotReply) -> bool {
         let query = self.pending.borrow().get(&ticket).cloned();
         let Some(query) = query else {
--- a/crates/chicoryrail-router/src/state/quota_shares.rs
+++ b/crates/chicoryrail-router/src/state/quota_shares.rs
@@ -1,4 +1,4 @@
-//! Rate-limit tokens of organisations that the leader granted to this host as a scheduler.
+//! Rate limits of organisations at a scheduler, which spends tokens that the leader grants.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,18 +18,21 @@
 
 use crate::state::Router;
 
-/// Longest time for which a request waits for a token; it tries again within that time.
+/// Time since a request's first attempt after which it is refused if there is still no token. Its host repeats the
+/// query after 120 ms (`QUEUED_POLL_INTERVAL`), so a request usually tries twice.
 const TOKEN_WAIT_MAX: Millis = Millis(100);
 
-/// Time after which the record of a waiting request is removed: its caller has disconnected.
+/// Time after which the record of a waiting request is removed: no query for it has arrived for so long that it is
+/// gone.
 const TOKEN_WAIT_EXPIRY: Millis = Millis(2_000);
 
-/// Rate-limit tokens of organisations that the leader granted to this host as a scheduler.
+/// Quota tokens of organisations that the leader granted to this host as a scheduler.
 #[derive(Debug, Default)]
 pub(crate) struct QuotaShares {
-    shares: RefCell<BTreeMap<OrganisationName, Share>>,
+    /// Organisations that have a limit.
+    organisations: RefCell<BTreeMap<OrganisationName, LimitedOrganisation>>,
     /// When the leader last replied to a report; `None` if it has not since this process started.
-    last_reply: Cell<Option<Millis>>,
+    last_leader_reply: Cell<Option<Millis>>,
     /// Notified when an organisation runs low on tokens.
     pub(crate) low_tokens: ChangeSignal,
     /// When each waiting request began to wait for a token, by ticket.
@@ -41,48 +44,49 @@
 pub(crate) enum TokenOutcome {
     /// The request has a token.
     Taken,
-    /// A token is expected within a moment; the request tries again.
+    /// The leader may grant a token shortly; the host repeats the query.
     Wait,
     /// The request is refused; a token may be available after this time.
     Refused(Millis),
 }
 
+/// An organisation with a limit, and the tokens that this host has of it.
 #[derive(Debug)]
-struct Share {
+struct LimitedOrganisation {
     limit: QuotaLimit,
-    tokens: QuotaShare,
+    share: QuotaShare,
 }
 
 impl QuotaShares {
-    /// Replaces the organisations that have a limit; the tokens of those that remain are kept.
-    pub(crate) fn set(&self, site: &Site) {
-        let mut old = self.shares.take();
+    /// Applies the limits of a configuration. Organisations that keep a limit keep their tokens.
+    pub(crate) fn apply_site(&self, site: &Site) {
+        let mut old = self.organisations.take();
         let all = site.organisations().unwrap_or_default().iter();
         let limited = all.filter_map(|o| Some((&o.name, o.limit?)));
-        let shares = limited.map(|(name, limit)| {
+        let organisations = limited.map(|(name, limit)| {
             let old = old.remove(name);
             let before = old.as_ref().map(|s| s.limit);
             if before.is_some_and(|b| b != limit) {
                 log::info!(organisation:% = name, rate = limit.rate, burst = limit.burst,
                     version = site.version; "limit_changed");
             }
-            let tokens = old.map(|s| s.tokens).unwrap_or_default();
-            (name.clone(), Share { limit, tokens })
+            let share = old.map(|s| s.share).unwrap_or_default();
+            (name.clone(), LimitedOrganisation { limit, share })
         });
-        *self.shares.borrow_mut() = shares.collect();
+        *self.organisations.borrow_mut() = organisations.collect();
         for name in old.keys() {
             log::info!(organisation:% = name, version = site.version; "limit_gone");
         }
     }
 
-    /// Returns whether any organisation has a limit.
+    /// Returns `true` if any organisation has a limit.
     pub(crate) fn has_limits(&self) -> bool {
-        !self.shares.borrow().is_empty()
+        !self.organisations.borrow().is_empty()
     }
 
     /// Returns the limit of an organisation; `None` if it has none.
     pub(crate) fn limit(&self, name: &OrganisationName) -> Option<QuotaLimit> {
-        self.shares.borrow().get(name).map(|s| s.limit)
+        self.organisations.borrow().get(name).map(|s| s.limit)
     }
 
     fn params(&self, router: &Router, limit: QuotaLimit) -> ShareParams {
@@ -97,8 +101,8 @@
     /// Takes a token for a request.
     ///
     /// With many schedulers that each see few requests of an organisation, a small limit has too few tokens for each
-    /// scheduler to keep one. A request that finds none therefore waits once, up to [`TOKEN_WAIT_MAX`], for the leader
-    /// to grant one.
+    /// scheduler to keep one. A request that finds none is therefore queried a second time, when the leader may have
+    /// granted one, before it is refused.
     pub(crate) fn take(
         &self,
         router: &Router,
@@ -106,13 +110,13 @@
         ticket: u64,
     ) -> TokenOutcome {
         let now = router.now();
-        let mut shares = self.shares.borrow_mut();
-        let Some(share) = shares.get_mut(name) else {
+        let mut organisations = self.organisations.borrow_mut();
+        let Some(organisation) = organisations.get_mut(name) else {
             return TokenOutcome::Taken;
         };
-        let params = self.params(router, share.limit);
-        let taken = share.tokens.try_take(now, &params);
-        if share.tokens.is_low(&params) {
+        let params = self.params(router, organisation.limit);
+        let taken = organisation.share.try_take(now, &params);
+        if organisation.share.is_low(&params) {
             self.low_tokens.notify();
         }
         match taken {
@@ -120,7 +124,7 @@
                 self.waiting.borrow_mut().remove(&ticket);
                 TokenOutcome::Taken
             }
-            Err(_) if share.tokens.can_wait(&params) && self.record_wait(now, ticket) => {
+            Err(_) if organisation.share.can_wait(&params) && self.record_wait(now, ticket) => {
                 TokenOutcome::Wait
             }
             Err(after) => {
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Records that a request waits for a token. Returns whether it may wait longer.
+    /// Records that a request waits for a token. Returns `true` if it has waited for less than [`TOKEN_WAIT_MAX`].
     fn record_wait(&self, now: Millis, ticket: u64) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|_, since| now.since(*since) <= TOKEN_WAIT_EXPIRY);
@@ -138,28 +142,29 @@
         now.since(since) < TOKEN_WAIT_MAX
     }
 
-    /// Returns whether this host is standalone: the leader has not replied for [`QUOTA_LEADER_TIMEOUT`], so that this
+    /// Returns `true` if this host is standalone: the leader has not replied for [`QUOTA_LEADER_TIMEOUT`], so that this
     /// host spends its own share of each limit without grants.
     pub(crate) fn is_standalone(&self, now: Millis) -> bool {
-        let last_reply = self.last_reply.get();
-        last_reply.is_none_or(|at| now.since(at) > QUOTA_LEADER_TIMEOUT)
+        let last_leader_reply = self.last_leader_reply.get();
+        last_leader_reply.is_none_or(|at| now.since(at) > QUOTA_LEADER_TIMEOUT)
     }
 
-    /// Returns the token of a request that did not run.
-    pub(crate) fn return_token(&self, name: &OrganisationName) {
-        if let Some(share) = self.shares.borrow_mut().get_mut(name) {
-            share.tokens.refund();
+    /// Gives back the token of a request that did not run.
+    pub(crate) fn refund_token(&self, name: &OrganisationName) {
+        if let Some(organisation) = self.organisations.borrow_mut().get_mut(name) {
+            organisation.share.refund();
         }
     }
 
-    /// Returns the reports to the leader that are due, one per organisation.
-    pub(crate) fn reports(&self, router: &Router) -> Vec<(OrganisationName, QuotaReport)> {
+    /// Returns the reports to the leader that are due, one per organisation. This gives back surplus tokens and resets
+    /// the counts of demand, so each report must be sent.
+    pub(crate) fn take_due_reports(&self, router: &Router) -> Vec<(OrganisationName, QuotaReport)> {
         let now = router.now();
         let mut reports = Vec::new();
-        for (name, share) in self.shares.borrow_mut().iter_mut() {
-            let params = self.params(router, share.limit);
-            if share.tokens.is_due(now, &params) {
-                reports.push((name.clone(), share.tokens.report(now, &params)));
+        for (name, organisation) in self.organisations.borrow_mut().iter_mut() {
+            let params = self.params(router, organisation.limit);
+            if organisation.share.is_due(now, &params) {
+                reports.push((name.clone(), organisation.share.report(now, &params)));
             }
         }
         reports
@@ -167,11 +172,11 @@
 
     /// Applies the grants that the leader sent.
     pub(crate) fn apply_grants(&self, now: Millis, grants: &[(OrganisationName, QuotaGrant)]) {
-        self.last_reply.set(Some(now));
-        let mut shares = self.shares.borrow_mut();
+        self.last_leader_reply.set(Some(now));
+        let mut organisations = self.organisations.borrow_mut();
         for (name, grant) in grants {
-            if let Some(share) = shares.get_mut(name) {
-                share.tokens.apply_grant(*grant);
+            if let Some(organisation) = organisations.get_mut(name) {
+                organisation.share.apply_grant(*grant);
             }
         }
     }
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -89,7 +89,7 @@
     pub(crate) schedulers: Schedulers,
     /// Organisations of the configuration in force, and this host's standalone shares of their rate limits.
     pub(crate) organisations: Organisations,
-    /// Rate-limit tokens of organisations, for the requests that this host schedules.
+    /// Quota tokens of organisations, for the requests that this host schedules.
     pub(crate) quota: QuotaShares,
     /// Notified when the store answers again after an outage.
     pub(crate) store_recovered: ChangeSignal,
@@ -107,7 +107,7 @@
     pub(crate) leaf_requests: RefCell<HashMap<HostName, Millis>>,
     services: RefCell<HashMap<ServiceName, Rc<Service>>>,
     /// Weighted round robin of each route over its services.
-    turns: RefCell<HashMap<String, WeightedRoundRobin>>,
+    round_robins: RefCell<HashMap<String, WeightedRoundRobin>>,
     /// Mean service time of each route's requests, in microseconds.
     work_means: RefCell<HashMap<String, f64>>,
 }
@@ -143,7 +143,7 @@
             feed_changed: ChangeSignal::default(),
             leaf_requests: RefCell::default(),
             services: RefCell::default(),
-            turns: RefCell::default(),
+            round_robins: RefCell::default(),
             work_means: RefCell::default(),
             process,
             options,
@@ -156,7 +156,7 @@
         Rc::clone(&self.boot.borrow())
     }
 
-    /// Replaces the settings and returns whether they changed. New addresses take effect at the next start, since the
+    /// Replaces the settings and returns `true` if they changed. New addresses take effect at the next start, since the
     /// sockets are already bound.
     pub(crate) fn reload(&self, boot: Boot) -> bool {
         let changed = **self.boot.borrow() != boot;
@@ -190,7 +190,7 @@
         self.services.borrow().values().cloned().collect()
     }
 
-    /// Returns whether this host leads, or received a heartbeat of the leader within `age`.
+    /// Returns `true` if this host leads, or received a heartbeat of the leader within `age`.
     pub(crate) fn leader_seen_within(&self, age: Millis) -> bool {
         self.leading_term.get() > 0 || self.peers.borrow().leader_seen_within(self.now(), age)
     }
@@ -206,9 +206,9 @@
         core
     }
 
-    /// Returns whether this host schedules requests for servers: a core host does unless it is stopping.
+    /// Returns `true` if this host schedules requests for servers: a core host does unless it is stopping.
     pub(crate) fn schedules(&self) -> bool {
-        self.source.core.get() && !self.process.stop.is_cancelled()
+        self.source.is_core_host.get() && !self.process.stop.is_cancelled()
     }
 
     /// Returns the address at which this host exchanges messages with other hosts.
@@ -283,7 +283,7 @@
         peers.scheduler(self.now(), (&boot.host, &own_state), dc, name)
     }
 
-    /// Returns whether another host is so much more powerful that it should lead, and reaches all data centres that
+    /// Returns `true` if another host is so much more powerful that it should lead, and reaches all data centres that
     /// this one reaches.
     pub(crate) fn has_stronger_peer(&self) -> bool {
         let now = self.now();
@@ -313,7 +313,7 @@
         }
     }
 
-    /// Returns whether this process started so recently that it may not know how many hosts there are.
+    /// Returns `true` if this process started so recently that it may not know how many hosts there are.
     pub(crate) fn is_discovering_hosts(&self, now: Millis) -> bool {
         now < HOST_DISCOVERY_TIME
     }
@@ -327,7 +327,7 @@
         known
     }
 
-    /// Returns whether requests with API keys may be served: the configuration was verified to be current within the
+    /// Returns `true` if requests with API keys may be served: the configuration was verified to be current within the
     /// bound on the delay of revocations.
     pub(crate) fn is_config_fresh(&self, now: Millis) -> bool {
         let bound = self.boot().bounds.revoke_delay;
@@ -335,24 +335,24 @@
         bound.is_none_or(|bound| freshness.is_fresh(now, bound))
     }
 
-    /// Returns whether this host recently received messages of any other: heartbeats on a core host, replies of the
+    /// Returns `true` if this host recently received messages of any other: heartbeats on a core host, replies of the
     /// relay on a leaf host.
     pub(crate) fn has_peer_contact(&self, now: Millis) -> bool {
-        if self.source.core.get() {
+        if self.source.is_core_host.get() {
             return self.peers.borrow().recent_peers(now).next().is_some();
         }
-        now.since(self.source.last_reply.get()) <= RELAY_REPLY_TIMEOUT
+        now.since(self.source.last_relay_reply.get()) <= RELAY_REPLY_TIMEOUT
     }
 
-    /// Returns whether the store may have been down at some time within the last `age`. A process that has not run for
-    /// that long can't know and returns true.
+    /// Returns `true` if the store may have been down at some time within the last `age`. A process that has not run
+    /// for that long can't know and returns `true`.
     pub(crate) fn store_was_down(&self, now: Millis, age: Millis) -> bool {
         let lost = self.store_lost.get();
         now <= age || !self.store_up.get() || lost.is_some_and(|at| now.since(at) <= age)
     }
 
-    /// Returns whether this host and every other one report that the store is down. A successor that reaches the store
-    /// does not report that, so it may assume that no key lease of the longer duration for outages was granted.
+    /// Returns `true` if this host and every other one report that the store is down. A successor that reaches the
+    /// store does not report that, so it may assume that no key lease of the longer duration for outages was granted.
     pub(crate) fn store_down_everywhere(&self, now: Millis) -> bool {
         !self.store_up.get() && self.peers.borrow().all_lost_store(now)
     }
@@ -368,10 +368,10 @@
     /// Returns the index of the next service of a route by weighted round robin. The start depends on the process, so
     /// that hosts do not all begin with the same one.
     pub(crate) fn next_weighted(&self, route: &str, weights: &[u32]) -> usize {
-        let mut turns = self.turns.borrow_mut();
-        let turn = turns.entry(route.to_owned()).or_default();
+        let mut round_robins = self.round_robins.borrow_mut();
+        let round_robin = round_robins.entry(route.to_owned()).or_default();
         let start = (self.process.instance_id % 1_000) as f64 / 1_000.0;
-        turn.next(weights, start)
+        round_robin.next(weights, start)
     }
 
     /// Returns the mean service time of the route's requests at an average server, in microseconds; before the first
--- a/crates/chicoryrail-router/src/state/schedulers.rs
+++ b/crates/chicoryrail-router/src/state/schedulers.rs
@@ -1,4 +1,4 @@
-//! The schedulers that run on this host.
+//! Schedulers of parts of services, with the origins of the queries that they decide on.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
     pub(crate) from: Option<SocketAddr>,
     /// Request id from the caller, for the log.
     pub(crate) id: String,
-    /// Organisation whose rate-limit token the request has; the token is returned if the request does not run.
+    /// Organisation whose quota token the request has; it is given back if the request does not run.
     pub(crate) token: Option<OrganisationName>,
 }
 
@@ -33,7 +33,7 @@
     pub(crate) by_part: RefCell<BTreeMap<PartName, Scheduler>>,
     /// Origin of each slot query, by ticket.
     pub(crate) origins: RefCell<HashMap<u64, QueryOrigin>>,
-    /// Data centres by their number.
+    /// Data centres; a position in this list identifies one in the schedulers.
     dcs: RefCell<Vec<DcName>>,
     /// Free slots that the schedulers of partitioned services reported.
     free_slots: RefCell<BTreeMap<ServiceName, RemoteFreeSlots>>,
@@ -57,8 +57,8 @@
         free_slots.get_mut(&part.service)?.take_slot(now, own)
     }
 
-    /// Returns the number that identifies a data centre in the schedulers of this host.
-    pub(crate) fn dc_number(&self, dc: &DcName) -> u32 {
+    /// Returns the index that identifies a data centre in the schedulers of this host; an unknown one is added.
+    pub(crate) fn dc_index(&self, dc: &DcName) -> u32 {
         let mut dcs = self.dcs.borrow_mut();
         let at = dcs.iter().position(|d| d == dc).unwrap_or_else(|| {
             dcs.push(dc.clone());
--- a/crates/chicoryrail-router/src/state/service.rs
+++ b/crates/chicoryrail-router/src/state/service.rs
@@ -1,4 +1,4 @@
-//! One service and its servers.
+//! A service: its servers, their load, and the owners of its keys.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub(crate) struct Service {
     pub(crate) name: ServiceName,
-    /// Load of the servers, as far as this host knows.
+    /// Load of the servers, as far as this host knows it.
     pub(crate) loads: RefCell<LocalBalancer>,
     /// Retry budget of this host.
     pub(crate) retries: RefCell<RetryBudget>,
@@ -46,6 +46,7 @@
     pub(crate) keyed: Cell<bool>,
     /// Whether the servers of each data centre are scheduled separately.
     pub(crate) partitioned: Cell<bool>,
+    /// Id of the next server.
     next_id: Cell<u32>,
 }
 
@@ -68,7 +69,7 @@
 
     /// Records the key of a request for the report to the leader, which balances load by key. Keys beyond
     /// [`REPORTED_KEYS_MAX`] are dropped, which only makes the report less precise.
-    pub(crate) fn record_key(&self, key: u16) {
+    pub(crate) fn record_key_demand(&self, key: u16) {
         let mut keys = self.requested_keys.borrow_mut();
         if keys.len() < REPORTED_KEYS_MAX {
             keys.push(key);
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Returns whether the service is keyed: each key is served only by the server that owns it.
+    /// Returns `true` if the service is keyed: each key is served only by the server that owns it.
     pub(crate) fn is_keyed(&self) -> bool {
         self.keyed.get()
     }
--- a/crates/chicoryrail-router/src/state/source.rs
+++ b/crates/chicoryrail-router/src/state/source.rs
@@ -1,4 +1,4 @@
-//! Where this host reads the content of the store from.
+//! Source of the store's content, and this host's role, which determines it.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -14,26 +14,26 @@
     Unknown,
     /// Watches of the store itself.
     Store,
-    /// The relay of another host, at this address.
+    /// Another host, at this address, which forwards the store's changes (relay).
     Relay(SocketAddr),
 }
 
-/// Role of this host, core or leaf, and its source.
+/// Source of the store's content, and the role of this host, core or leaf.
 #[derive(Debug, Default)]
 pub(crate) struct SourceState {
     /// Whether this is a core host: it is listed in the store, schedules requests and may lead.
-    pub(crate) core: Cell<bool>,
+    pub(crate) is_core_host: Cell<bool>,
     /// When the list of core hosts was first read; `None` before that.
-    pub(crate) core_known_at: Cell<Option<Millis>>,
+    pub(crate) core_hosts_read_at: Cell<Option<Millis>>,
     pub(crate) source: Cell<Source>,
     /// Notified when the source changes.
     pub(crate) changed: ChangeSignal,
     /// Time of the last reply of a relay.
-    pub(crate) last_reply: Cell<Millis>,
+    pub(crate) last_relay_reply: Cell<Millis>,
 }
 
 impl SourceState {
-    /// Returns whether this host watches the store itself.
+    /// Returns `true` if this host watches the store itself.
     pub(crate) fn watches(&self) -> bool {
         self.source.get() == Source::Store
     }
--- a/crates/chicoryrail-router/src/state/target.rs
+++ b/crates/chicoryrail-router/src/state/target.rs
@@ -55,12 +55,12 @@
 }
 
 impl Target {
-    /// Returns whether the server accepts new requests without restriction.
+    /// Returns `true` if the server accepts new requests without restriction.
     pub(crate) fn is_ready(&self) -> bool {
         self.admission.get() == Admission::Open
     }
 
-    /// Returns whether the server may receive new requests now; a draining server may until its end time.
+    /// Returns `true` if the server may receive new requests now; a draining server may until its end time.
     pub(crate) fn accepts_requests(&self, now: Millis) -> bool {
         match self.admission.get() {
             Admission::Open => true,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns whether the server is warming up.
+    /// Returns `true` if the server is warming up.
     pub(crate) fn is_warming_up(&self, now: Millis) -> bool {
         now < self.warmup_until.get()
     }
--- a/crates/chicoryrail-router/src/state/view.rs
+++ b/crates/chicoryrail-router/src/state/view.rs
@@ -95,7 +95,7 @@
         self.site.as_ref()
     }
 
-    /// Returns whether a data centre is taken out of service.
+    /// Returns `true` if a data centre is taken out of service.
     pub(crate) fn is_drained(&self, dc: &DcName) -> bool {
         self.drained_dcs.contains(dc)
     }
@@ -308,7 +308,7 @@
 }
 
 impl ServerEntry {
-    /// Returns whether the server is registered as ready for new requests.
+    /// Returns `true` if the server is registered as ready for new requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.member.state == MemberState::Ready
     }
--- a/crates/chicoryrail-router/tests/support/server.rs
+++ b/crates/chicoryrail-router/tests/support/server.rs
@@ -107,7 +107,7 @@
         client.call(self.addr, request, CALL_TIMEOUT).await.unwrap();
     }
 
-    /// Returns whether the server currently holds the lease of a key.
+    /// Returns `true` if the server currently holds the lease of a key.
     pub fn owns(&self, key: u16) -> bool {
         self.target.owns_key(key)
     }
