--- a/crates/chicoryrail-router/src/control/leader/key_calls.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_calls.rs
@@ -110,10 +110,10 @@
         let (outcome, name) = match &result {
             Ok(()) => (GrantOutcome::Granted, "held"),
             Err(KeyError::StaleFence) => (GrantOutcome::StaleFence, "fence_old"),
-            Err(KeyError::OtherServer) => (GrantOutcome::WrongServer, "other_server"),
+            Err(KeyError::OtherServer) => (GrantOutcome::OtherServer, "other_server"),
             // A refusal for any other reason counts as no answer.
             Err(KeyError::NoResponse { .. } | KeyError::Refused { .. }) => {
-                (GrantOutcome::NoAnswer, "silent")
+                (GrantOutcome::NoResponse, "silent")
             }
         };
         self.record_call_metrics("grant", name, started);
@@ -152,8 +152,8 @@
         let result = control.release(addr, &life.name, &release, timeout).await;
         let (outcome, name) = match &result {
             Ok(token) => (ReleaseOutcome::Released(token.clone()), "free"),
-            Err(KeyError::OtherServer) => (ReleaseOutcome::WrongServer, "other_server"),
-            Err(_) => (ReleaseOutcome::NoAnswer, "silent"),
+            Err(KeyError::OtherServer) => (ReleaseOutcome::OtherServer, "other_server"),
+            Err(_) => (ReleaseOutcome::NoResponse, "silent"),
         };
         self.record_call_metrics("release", name, started);
         log::info!(server:% = life, service:% = self.service, fence = release.fence,
--- a/crates/chicoryrail-router/tests/limited_servers.rs
+++ b/crates/chicoryrail-router/tests/limited_servers.rs
@@ -126,8 +126,8 @@
     });
 }
 
-/// Guards against a host that exceeds a server's rate limit because it lost the scheduler and chooses servers from what
-/// it knows itself. Two of three hosts are killed.
+/// Guards against a host that exceeds a server's rate limit because it lost the scheduler and selects servers by its
+/// own view of the load. Two of three hosts are killed.
 #[test]
 fn rate_limit_holds_while_the_scheduler_is_lost() {
     block_on(async {
--- a/crates/chicoryrail-router/tests/operator.rs
+++ b/crates/chicoryrail-router/tests/operator.rs
@@ -170,10 +170,9 @@
     });
 }
 
-/// Guards against a configuration that is rejected because newer tools wrote an unknown kind of route. The version must
-/// be in force, with its other routes and a new one. A request on the unknown route whose response is lost is not
-/// retried, since it may not be idempotent. The unknown value is logged once for each version, also when it is
-/// rewritten.
+/// Guards against a configuration that is rejected because newer tools wrote an unknown kind of route. All its routes
+/// must be in force. A request on the unknown route whose response is lost must not be retried, since it may not be
+/// idempotent, and the unknown value is logged once for each version, also when it is rewritten.
 #[test]
 fn an_unknown_kind_of_route_affects_only_that_route() {
     block_on(async {
@@ -201,7 +200,7 @@
         .await;
         assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         let before: usize = servers.iter().map(|s| s.executed()).sum();
-        servers.iter().for_each(|s| s.set_mode(Mode::LoseAnswer));
+        servers.iter().for_each(|s| s.set_mode(Mode::LoseResponse));
         assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 502);
         let after: usize = servers.iter().map(|s| s.executed()).sum();
         assert_eq!(after - before, 1);
--- a/crates/chicoryrail-router/tests/responses.rs
+++ b/crates/chicoryrail-router/tests/responses.rs
@@ -17,7 +17,8 @@
 use support::World;
 use support::wait_until;
 
-/// Guards against a response that arrives truncated or changed, with a content length or with chunked encoding.
+/// Guards against a response that arrives truncated or changed, for responses with a content length and for chunked
+/// ones.
 #[rstest]
 #[case::fixed_length("body=300000")]
 #[case::chunked("body=300000&chunked=1")]
@@ -36,8 +37,8 @@
 }
 
 /// Guards against unbounded buffering for slow readers. Two hundred callers request a download of 540 KB each and do
-/// not read it. The process may buffer a quarter of the smallest host's memory of 160 MB; all of the downloads would
-/// take 108 MB.
+/// not read it. The limit is 40 MiB, a quarter of the memory of the smallest host (160 MB); buffering all downloads
+/// would take 108 MB.
 #[test]
 fn slow_readers_use_bounded_memory() {
     const READERS: u32 = 200;
@@ -84,17 +85,18 @@
         // A caller that resumes reading receives the rest.
         let mut reader = readers.swap_remove(0);
         drop(readers);
-        let whole = std::thread::spawn(move || {
+        let reader_thread = std::thread::spawn(move || {
             let mut all = vec![0; 540_000];
             reader.read_exact(&mut all).is_ok()
         });
-        wait_until("the rest is read", async || whole.is_finished()).await;
-        assert!(whole.join().unwrap());
+        wait_until("the rest is read", async || reader_thread.is_finished()).await;
+        assert!(reader_thread.join().unwrap());
     });
 }
 
 /// Guards against a truncated response that the caller takes for a complete one. Bytes that were already forwarded
-/// can't be recalled, so the caller's connection must be closed early too.
+/// can't be recalled, so the router must close the caller's connection before the end of the body. The order must not
+/// be repeated.
 #[rstest]
 #[case::fixed_length("body=3000")]
 #[case::chunked("body=3000&chunked=1")]
@@ -140,6 +142,7 @@
             let head = ResponseHead::check(response.body()).unwrap();
             assert_eq!(head.path, path);
         }
+        // The late response arrives during this wait.
         monoio::time::sleep(Millis(500).to_duration()).await;
         let response = caller.get("/read/after").await.unwrap();
         let head = ResponseHead::check(response.body()).unwrap();
@@ -196,7 +199,8 @@
     });
 }
 
-/// Guards against a runtime that uses io_uring, which hosts forbid: no file descriptor of the process may be one.
+/// Guards against a runtime that uses io_uring, which the hosts of a deployment forbid: no file descriptor of the
+/// process may be one.
 #[test]
 fn process_uses_no_io_uring() {
     block_on(async {
--- a/crates/chicoryrail-router/tests/slow_links.rs
+++ b/crates/chicoryrail-router/tests/slow_links.rs
@@ -69,7 +69,7 @@
             core.push(world.router(name).await);
         }
         // A second store, which lists the core hosts at the addresses of their slow links and has no configuration.
-        let lists = World::start("slow-relay-list").await;
+        let second_store = World::start("slow-relay-list").await;
         let mut net = ProxyNet::start(1);
         let mut links = Vec::new();
         for (name, host) in ["a", "b", "c"].into_iter().zip(&core) {
@@ -79,11 +79,11 @@
                 power: 500,
             };
             links.push(link);
-            lists
+            second_store
                 .put_own(&host_key(&name.into()), &listed.to_value())
                 .await;
         }
-        let leaf = world.spawn_low_power_at("leaf", lists.store_addr());
+        let leaf = world.spawn_low_power_at("leaf", second_store.store_addr());
         wait_until_serving(&leaf).await;
         let log = leaf.log();
         assert!(!log.contains("log=relay_failed"), "{log}");
