--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -75,7 +75,7 @@
                 record_store_call(&router, "records", None);
                 let view_changes =
                     router
-                        .view
+                        .store_view
                         .borrow_mut()
                         .replace(router.now(), KEY_RECORDS, &all);
                 router.apply_view_changes(&view_changes);
@@ -143,7 +143,11 @@
         router.organisations.mark_current(sent);
     }
     loop {
-        let after = router.view.borrow().read_revision(feed).unwrap_or_default();
+        let after = router
+            .store_view
+            .borrow()
+            .read_revision(feed)
+            .unwrap_or_default();
         let recoveries = router.store_recovered.version();
         let lost = router.store_lost.get();
         let watch = pin!(store.changes(&prefix, after, WATCH_MAX));
@@ -192,7 +196,10 @@
     if index.is_some_and(|i| !router.feed_logs.borrow_mut()[i].replace(all)) {
         return;
     }
-    let view_changes = router.view.borrow_mut().replace(router.now(), feed, all);
+    let view_changes = router
+        .store_view
+        .borrow_mut()
+        .replace(router.now(), feed, all);
     router.apply_view_changes(&view_changes);
     router.feed_changed.notify();
 }
@@ -207,7 +214,7 @@
     drop(logs);
     let now = router.now();
     let view_changes: Vec<_> = {
-        let mut view = router.view.borrow_mut();
+        let mut view = router.store_view.borrow_mut();
         view.advance(feed, changes.revision);
         let fresh = fresh.into_iter();
         fresh.filter_map(|c| view.apply(now, c)).collect()
@@ -270,7 +277,7 @@
     if let Some(e) = error.filter(|_| down) {
         log::warn!(call = call, error:% = e; "store_lost");
     } else {
-        router.view.borrow_mut().record_recovery(router.now());
+        router.store_view.borrow_mut().record_recovery(router.now());
         router.store_recovered.notify();
         log::info!(call = call; "store_back");
     }
--- a/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
@@ -155,7 +155,7 @@
 }
 
 fn poll_request(router: &Router) -> RelayRequest {
-    let view = router.view.borrow();
+    let view = router.store_view.borrow();
     let keyed = router.services().into_iter().filter(|s| s.is_keyed());
     let fences = keyed.map(|s| KeyFence {
         service: s.name.clone(),
@@ -217,7 +217,7 @@
     let now = router.now();
     if let Some(age) = back {
         let at = Millis(now.0.saturating_sub(age.0));
-        router.view.borrow_mut().record_recovery(at);
+        router.store_view.borrow_mut().record_recovery(at);
     }
     if !router.source.is_core_host.get() && router.store_up.get() != up {
         router.store_up.set(up);
--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -109,7 +109,7 @@
     let now = router.now();
     let logs = router.feed_logs.borrow();
     let news = std::array::from_fn(|i| logs[i].since(poll.revisions[i]));
-    let recovered_at = router.view.borrow().recovered_at();
+    let recovered_at = router.store_view.borrow().recovered_at();
     let peers = router.peers.borrow();
     RelayReply {
         news,
--- a/crates/chicoryrail-router/src/control/gossip.rs
+++ b/crates/chicoryrail-router/src/control/gossip.rs
@@ -31,7 +31,6 @@
 /// Time between two reports of requested keys, for each known host. The leader must see soon that a range of keys
 /// becomes busy, and should receive a few hundred reports a second at most.
 const DEMAND_REPORT_PER_HOST: Millis = Millis(2);
-
 /// Minimum time between two reports of requested keys.
 const DEMAND_REPORT_INTERVAL_MIN: Millis = Millis(100);
 
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -48,9 +48,10 @@
             return;
         }
         let core = router.source.is_core_host.get();
-        let may_campaign =
-            core && router.view.borrow().read_revision(LIVE).is_some() && router.store_up.get();
-        if !may_campaign || router.view.borrow().own(LEADER).is_some() {
+        let may_campaign = core
+            && router.store_view.borrow().read_revision(LIVE).is_some()
+            && router.store_up.get();
+        if !may_campaign || router.store_view.borrow().own(LEADER).is_some() {
             continue;
         }
         let mut wait = Millis(rand::rng().random_range(0..CAMPAIGN_JITTER.0));
@@ -69,7 +70,7 @@
             wait = wait + NOT_WATCHING_DELAY;
         }
         router.process.clock.sleep(wait).await;
-        if router.view.borrow().own(LEADER).is_some() {
+        if router.store_view.borrow().own(LEADER).is_some() {
             continue;
         }
         match campaign(&router).await {
--- a/crates/chicoryrail-router/src/control/leader/key_leader.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_leader.rs
@@ -204,7 +204,7 @@
     fn update_servers(&self) {
         let now = self.router.now();
         let mut leases = self.leases.borrow_mut();
-        let view = self.router.view.borrow();
+        let view = self.router.store_view.borrow();
         let owners: Vec<Life> = leases.lease_owners();
         for entry in view.servers().filter(|e| e.member.service == self.service) {
             let life = &entry.member.life;
--- a/crates/chicoryrail-router/src/control/membership/mod.rs
+++ b/crates/chicoryrail-router/src/control/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Membership of the core, and the choice of this host's source of store data. Changes only the source.
+//! Registration of core hosts, and the choice of this host's source of store data. Of the shared state, this module
+//! changes only the source.
 
 mod presence;
 mod source;
--- a/crates/chicoryrail-router/src/control/membership/source.rs
+++ b/crates/chicoryrail-router/src/control/membership/source.rs
@@ -19,8 +19,8 @@
 /// Time between two checks of the source.
 const SOURCE_CHECK_INTERVAL: Millis = Millis(50);
 
-/// Time after reading the list of core hosts in which they exchange first heartbeats. Without it each of them would
-/// start by watching the store.
+/// Time after reading the list of core hosts in which they exchange their first heartbeats. Without this delay each of
+/// them would start by watching the store.
 const PEER_DISCOVERY_TIME: Millis = Millis(150);
 
 /// Time without a reply from any core host after which a leaf host watches the store itself.
@@ -152,7 +152,7 @@
 
 /// Returns `true` if this host should be a core host beside those that the store lists.
 fn is_needed(router: &Router) -> bool {
-    let view = router.view.borrow();
+    let view = router.store_view.borrow();
     if view.own(&host_key(&router.boot().host)).is_some() {
         return true;
     }
--- a/crates/chicoryrail-router/src/control/quota/mod.rs
+++ b/crates/chicoryrail-router/src/control/quota/mod.rs
@@ -1,4 +1,4 @@
-//! Rate limits of organisations over all hosts. Changes only quota tokens.
+//! Rate limits of organisations over all hosts. Of the shared state, this module changes only quota tokens.
 
 mod leases;
 
--- a/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
@@ -17,8 +17,8 @@
 /// Time between two log lines on each scheduler's utilisation.
 const LOG_INTERVAL: Millis = Millis(1_000);
 
-/// Time between two evaluations of which servers this host schedules. It decides the rate of requests to servers that
-/// are warming up, and that rate allows for two hosts that schedule for the same server.
+/// Time between two evaluations of which servers this host schedules. Which host schedules a server also decides
+/// the rate of requests to it during its warm-up, and that rate allows for two hosts that schedule the same server.
 const RENDEZVOUS_INTERVAL: Millis = Millis(100);
 
 /// Assigns waiting requests at intervals, and updates which servers this host schedules.
@@ -46,8 +46,9 @@
     waiting.map(|(part, _)| part.clone()).collect()
 }
 
-/// Updates for each server whether this host schedules it, by rendezvous hashing. `previous` identifies the set of
-/// schedulers at the last call: while it is unchanged, only new servers are evaluated. Returns the current one.
+/// Updates for each server whether this host schedules it, by rendezvous hashing. `previous` is the hash of
+/// the set of schedulers at the last call: while that is unchanged, only new servers are evaluated. Returns the current
+/// hash.
 fn update_scheduled(router: &Router, previous: u64) -> u64 {
     let current = router.peers.borrow().schedulers_hash(router.now());
     let changed = current != previous;
--- a/crates/chicoryrail-router/src/control/scheduling/requests.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/requests.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Adds a queried request to its scheduler, and replies with a decision or that it waits.
+/// Adds a queried request to its scheduler, and replies with a decision or that the request waits.
 fn handle_query(router: &Rc<Router>, query: &SlotQuery, from: Option<SocketAddr>) {
     let now = router.now();
     let service = router.service(&query.part.service);
--- a/crates/chicoryrail-router/src/messages/packet.rs
+++ b/crates/chicoryrail-router/src/messages/packet.rs
@@ -44,7 +44,7 @@
     QuotaGrants(QuotaGrants),
 }
 
-/// State of a host, as it sees itself.
+/// State of a host, as reported by itself.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct Heartbeat {
     pub(crate) host: HostName,
--- a/crates/chicoryrail-router/src/route/attempts.rs
+++ b/crates/chicoryrail-router/src/route/attempts.rs
@@ -255,7 +255,8 @@
         }
     }
 
-    /// Builds a refusal. If an earlier send may have run, its cause does not promise that the request has not run.
+    /// Builds a refusal. If a server may have executed an earlier send, the cause does not promise that the request has
+    /// not run.
     fn refuse(&self, cause: Cause, capacity_in: Millis) -> Refusal {
         if self.possible_runs > 0 {
             let cause = if cause == Cause::Late {
--- a/crates/chicoryrail-router/src/route/caller.rs
+++ b/crates/chicoryrail-router/src/route/caller.rs
@@ -30,7 +30,6 @@
 
 /// Time after which a caller should retry if this host has no configuration.
 const NO_CONFIG_RETRY_AFTER: Millis = Millis(300);
-
 /// Time after which a caller should retry if the configuration of this host may be outdated.
 const STALE_CONFIG_RETRY_AFTER: Millis = Millis(500);
 
@@ -71,8 +70,8 @@
 
 /// Returns `true` if a pipelined request may start before the earlier requests on its connection have their responses.
 ///
-/// Only reads may: their short responses are kept in memory until their turn. An order could run although its caller,
-/// disconnected before the order's turn, sends it again. A download would occupy its server's slot until its turn.
+/// Only reads may: their short responses are kept in memory until their turn. An order could run although its caller
+/// disconnects before the order's turn and sends it again. A download would occupy its server's slot until its turn.
 pub(crate) fn may_begin_early(router: &Router, head: &Parts) -> bool {
     let route = router.site().and_then(|site| find_route(&site, head));
     route.is_some_and(|r| r.kind == RouteKind::Read)
@@ -151,7 +150,7 @@
     result: Result<Response<Body>, Refusal>,
 ) -> Response<Body> {
     let took = router.now().since(call.arrived);
-    check_invariants(router, call, &result);
+    check_result(router, call, &result);
     let service = call.service_name().as_str();
     let (outcome, response) = match result {
         Ok(response) => {
@@ -191,11 +190,7 @@
 
 /// Checks that a response belongs to the caller's request, and that a refused request has not run if the refusal
 /// promises so.
-fn check_invariants(
-    router: &Router,
-    call: &CallerRequest,
-    result: &Result<Response<Body>, Refusal>,
-) {
+fn check_result(router: &Router, call: &CallerRequest, result: &Result<Response<Body>, Refusal>) {
     let invariants = &router.process.invariants;
     match result {
         Ok(response) => {
@@ -259,7 +254,7 @@
 }
 
 /// Returns `true` if a request that succeeded in time is in the logged sample, one in `--log-ordinary`, selected by a
-/// hash of its id. 0 logs none.
+/// hash of the request's id; an interval of 0 logs none.
 fn is_sampled(router: &Router, call: &CallerRequest) -> bool {
     let sample_interval = router.options.log_ordinary;
     let hash = call
--- a/crates/chicoryrail-router/src/state/apply.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -35,7 +35,7 @@
                 self.apply_own(key);
             }
         }
-        let gone = self.view.borrow_mut().expire(self.now());
+        let gone = self.store_view.borrow_mut().expire(self.now());
         if !changes.is_empty() || !gone.is_empty() {
             self.sync();
         }
@@ -48,7 +48,7 @@
         let Some(service) = key.strip_prefix(KEYS) else {
             return;
         };
-        let view = self.view.borrow();
+        let view = self.store_view.borrow();
         let Some(item) = view.own(key) else {
             return;
         };
@@ -64,7 +64,7 @@
     /// Updates the list of core hosts, without this one, from the host entries of the store.
     fn update_hosts(&self) {
         let own = self.boot().host.clone();
-        let view = self.view.borrow();
+        let view = self.store_view.borrow();
         let hosts = view.own_with_prefix(HOSTS).filter_map(|(key, item)| {
             let name = HostName::new(key.strip_prefix(HOSTS)?);
             let host = CoreHost::from_value(&item.value)?;
@@ -87,7 +87,7 @@
     /// Updates settings and targets from the store view: the configuration's limits and organisations, and the
     /// servers of each service.
     fn sync(&self) {
-        let view = self.view.borrow();
+        let view = self.store_view.borrow();
         if let Some(site) = view.site() {
             self.counters.config.set(site.version as i64);
             if self.organisations.apply_site(site) {
@@ -179,7 +179,7 @@
     }
 
     fn log(&self, change: &ViewChange) {
-        let revision = self.view.borrow().revision();
+        let revision = self.store_view.borrow().revision();
         match change {
             ViewChange::Config { from, to, invalid } => {
                 let invariants = &self.process.invariants;
@@ -197,7 +197,7 @@
             ViewChange::DrainedDc(dc) => log::info!(dc:% = dc, revision = revision; "dc_out"),
             ViewChange::RestoredDc(dc) => log::info!(dc:% = dc, revision = revision; "dc_back"),
             ViewChange::Server(name) => {
-                let view = self.view.borrow();
+                let view = self.store_view.borrow();
                 let entry = view.servers().find(|e| e.member.life.name == *name);
                 if let Some(ServerEntry { member, .. }) = entry {
                     log::info!(server:% = member.life, service:% = member.service, dc:% = member.dc,
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -72,7 +72,7 @@
     pub(crate) counters: Counters,
     pub(crate) store: KvStore,
     pub(crate) control: KeyControl,
-    pub(crate) view: RefCell<View>,
+    pub(crate) store_view: RefCell<View>,
     pub(crate) peers: RefCell<Peers>,
     /// Data centres whose servers answer this host.
     pub(crate) reach: RefCell<DcReachability>,
@@ -80,7 +80,7 @@
     pub(crate) limits: SharedLimits,
     /// Number of requests in progress.
     pub(crate) serving: Cell<u32>,
-    /// Whether the last call to the store was answered.
+    /// Whether the store answered the last call. A leaf host also applies its relay's report on this.
     pub(crate) store_up: Cell<bool>,
     pub(crate) peer_socket: Rc<PeerSocket>,
     /// Slot queries that await the scheduler's decision.
@@ -124,7 +124,7 @@
             counters: Counters::new(&process.metrics),
             store: KvStore::new(boot.store.addr).with_max_value(boot.store.max_value_bytes),
             control: KeyControl::default(),
-            view: RefCell::default(),
+            store_view: RefCell::default(),
             peers: RefCell::default(),
             reach: RefCell::default(),
             limits: Rc::new(Cell::new(limits)),
@@ -171,7 +171,7 @@
 
     /// Returns the configuration in force.
     pub(crate) fn site(&self) -> Option<Rc<Site>> {
-        self.view.borrow().site().cloned()
+        self.store_view.borrow().site().cloned()
     }
 
     /// Returns a service; an unknown one is added without servers.
--- a/crates/chicoryrail-router/src/state/target.rs
+++ b/crates/chicoryrail-router/src/state/target.rs
@@ -43,7 +43,7 @@
     pub(crate) pool: ServerPool,
     /// Pacing of requests while the server warms up.
     pub(crate) warmup: RefCell<WarmupPacer>,
-    /// End of the warm-up, as far as is known.
+    /// Latest end of a warm-up that the server has reported; zero if it has reported none.
     pub(crate) warmup_until: Cell<Millis>,
     /// Rate limit that the server's responses advertise.
     pub(crate) limit: Cell<AdvertisedLimit>,
--- a/crates/chicoryrail-router/src/state/view.rs
+++ b/crates/chicoryrail-router/src/state/view.rs
@@ -267,7 +267,7 @@
         let member = match read_member(&name, &item.value) {
             Ok(member) => member,
             Err(e) => {
-                // The entry was overwritten with a value that can't be decoded: the old entry no longer holds.
+                // The entry was overwritten with a value that can't be decoded: the old entry is no longer valid.
                 let missing = self.mark_missing(now, name);
                 return self.unreadable(item, e).or(missing);
             }
--- a/crates/chicoryrail-router/tests/bad_input.rs
+++ b/crates/chicoryrail-router/tests/bad_input.rs
@@ -162,9 +162,9 @@
     });
 }
 
-/// Guards against request smuggling: a load balancer that uses the content length takes the bytes after the chunked body
-/// for part of the body, and a router that served them would send their response to another caller. The router must use
-/// the chunked encoding and close the connection after the response.
+/// Guards against request smuggling: a load balancer that uses the content length takes the bytes after the chunked
+/// body for part of the body, and a router that served them would send their response to another caller. The router
+/// must use the chunked encoding and close the connection after the response.
 #[rstest]
 #[case::length_first("content-length: 4\r\ntransfer-encoding: chunked\r\n")]
 #[case::chunks_first("transfer-encoding: chunked\r\ncontent-length: 4\r\n")]
--- a/crates/chicoryrail-router/tests/keys.rs
+++ b/crates/chicoryrail-router/tests/keys.rs
@@ -134,9 +134,9 @@
     });
 }
 
-/// Guards against a key with two owners after a restart of all hosts at the end of a store outage. Grants made during the
-/// outage last longer. An owner with such a grant can't be reached and its entry is removed; the new leader, which has no
-/// record of the outage, must not grant its keys to another server before that grant has expired.
+/// Guards against a key with two owners after a restart of all hosts at the end of a store outage. Grants made during
+/// the outage last longer. An owner with such a grant can't be reached and its entry is removed; the new leader, which
+/// has no record of the outage, must not grant its keys to another server before that grant has expired.
 #[test]
 fn restarted_hosts_allow_for_an_earlier_outage() {
     block_on(async {
