--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -44,7 +44,7 @@
 /// Age of the leader's last heartbeat up to which this host relies on the leader's key changes.
 const LEADER_TIMEOUT: Millis = Millis(1_000);
 
-/// All feeds whose changes every host must get at once: configuration, servers, leader and core hosts.
+/// All feeds whose changes every host must receive at once: configuration, servers, leader and core hosts.
 pub(crate) const FEEDS: [Feed; FEED_COUNT] = [Feed::Operator, Feed::Servers, LIVE];
 
 /// Starts a watch of each feed, which runs while this host watches the store itself.
@@ -118,7 +118,7 @@
 
 /// Why a watch ended.
 enum WatchEnd {
-    /// The watch was cut while the store replies, or the store had an outage: changes may be missing.
+    /// The watch was aborted while the store replies, or the store had an outage: changes may be missing.
     Gap,
     /// The store does not reply, or it refuses the call.
     Failed(StoreError),
@@ -126,7 +126,7 @@
 
 /// Reads a snapshot of a feed and watches from its revision, until a call fails.
 ///
-/// A watch that was cut is not resumed from its last revision. The store cuts its watches a moment before it drops its
+/// An aborted watch is not resumed from its last revision. The store aborts its watches a moment before it drops its
 /// history. A watch sent in that moment from an older revision gets no reply until the next change, and an operator's
 /// earlier change would take seconds to be in force.
 async fn follow_once(router: &Router, feed: Feed, pause: &mut Millis) -> WatchEnd {
@@ -169,8 +169,8 @@
                 log::info!(part:? = feed, after = after; "history_gone");
                 return WatchEnd::Gap;
             }
-            // The snapshot that follows shows whether the store replies. If a cut watch counted as an outage at once,
-            // all hosts that follow this one would turn to another relay.
+            // The snapshot that follows shows whether the store replies. If an aborted watch counted as an outage at
+            // once, all hosts that follow this one would select another relay.
             Err(e) => {
                 log::info!(part:? = feed, after = after, error:% = e; "watch_cut");
                 return WatchEnd::Gap;
--- a/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow_relay.rs
@@ -129,7 +129,7 @@
         first_piece: POLL_MAX + REPLY_SLACK,
         next_piece: REPLY_SLACK,
     };
-    // A reply that is still arriving counts as one, so that a leaf host does not turn to the store meanwhile.
+    // A reply that is still arriving counts as one, so that a leaf host does not start to watch the store.
     let arrived = || router.source.last_relay_reply.set(router.now());
     let sent = router.now();
     let response = client.call_while_receiving(addr, request, timeouts, arrived);
--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -30,7 +30,7 @@
 use crate::messages::encode;
 use crate::state::Router;
 
-/// Longest time for which a reply waits for changes. A host that gets no reply for longer turns to another relay.
+/// Longest time for which a reply waits for changes. A host without a reply for longer selects another relay.
 pub(super) const POLL_MAX: Millis = Millis(400);
 
 /// Largest request body of a following host.
--- a/crates/chicoryrail-router/src/control/membership/source.rs
+++ b/crates/chicoryrail-router/src/control/membership/source.rs
@@ -150,7 +150,7 @@
     }
 }
 
-/// Returns `true` if this host should be a core host beside those that the store lists.
+/// Returns `true` if this host should be a core host in addition to those that the store lists.
 fn is_needed(router: &Router) -> bool {
     let view = router.store_view.borrow();
     if view.own(&host_key(&router.boot().host)).is_some() {
--- a/crates/chicoryrail-router/src/control/scheduling/overflow.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/overflow.rs
@@ -41,7 +41,7 @@
     true
 }
 
-/// Returns the free slots of the parts that this host schedules, less the requests that wait there.
+/// Returns the free slots of the parts that this host schedules, minus the requests that wait there.
 pub(crate) fn free_slots(router: &Router) -> Vec<PartRoom> {
     let now = router.now();
     let mut schedulers = router.schedulers.by_part.borrow_mut();
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -292,7 +292,7 @@
         peers.has_stronger_peer(now, self.power(), &reachable)
     }
 
-    /// Returns the retry budget that all hosts share.
+    /// Returns the limits on retries, which all hosts share.
     pub(crate) fn retry_limits(&self) -> RetryLimits {
         let bounds = self.boot().bounds;
         RetryLimits {
--- a/crates/chicoryrail-router/src/state/service.rs
+++ b/crates/chicoryrail-router/src/state/service.rs
@@ -33,7 +33,7 @@
     pub(crate) name: ServiceName,
     /// Load of the servers, as far as this host knows it.
     pub(crate) loads: RefCell<LocalBalancer>,
-    /// Retry budget of this host.
+    /// This host's budget of retries.
     pub(crate) retries: RefCell<RetryBudget>,
     /// Owners of the keys, if the service is keyed.
     pub(crate) keys: RefCell<KeyView>,
--- a/crates/chicoryrail-router/tests/callers.rs
+++ b/crates/chicoryrail-router/tests/callers.rs
@@ -114,8 +114,8 @@
     });
 }
 
-/// Guards against hosts that go on at full rate when a warm server reports, without a restart, that it warms up again.
-/// The hosts together must stay within the warm-up rate limit, and refuse the rest at once with `retry-after`.
+/// Guards against hosts that continue at full rate when a warm server reports, without a restart, that it warms up
+/// again. The hosts together must stay within the warm-up rate limit, and refuse the rest at once with `retry-after`.
 #[test]
 fn server_that_warms_up_again_receives_a_limited_rate() {
     block_on(async {
--- a/crates/chicoryrail-router/tests/responses.rs
+++ b/crates/chicoryrail-router/tests/responses.rs
@@ -150,7 +150,7 @@
     });
 }
 
-/// Guards against a server that goes on working for a caller that has disconnected. The router must close its
+/// Guards against a server that continues to work for a caller that has disconnected. The router must close its
 /// connection to the server, which cancels the read and frees its slot.
 #[test]
 fn disconnected_caller_cancels_its_read() {
--- a/crates/chicoryrail-router/tests/slow_links.rs
+++ b/crates/chicoryrail-router/tests/slow_links.rs
@@ -41,7 +41,7 @@
 }
 
 /// Guards against a host that watches the store and times out while a large configuration arrives: it would keep an
-/// older configuration for good, and treat the store as lost.
+/// older configuration forever, and treat the store as lost.
 #[test]
 fn a_large_configuration_comes_from_the_store_over_a_slow_link() {
     block_on(async {
