--- a/crates/chicoryrail-router/src/control/config_feed/follow.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/follow.rs
@@ -31,7 +31,7 @@
 const BATCH_PAUSE_PER_HOST: Millis = Millis(8);
 const BATCH_PAUSE_MAX: Millis = Millis(600);
 
-/// Backoff after a failed call: the first pause and the longest.
+/// First pause of the backoff after a failed call; it is doubled up to [`RETRY_BACKOFF_MAX`].
 const RETRY_BACKOFF_MIN: Millis = Millis(100);
 const RETRY_BACKOFF_MAX: Millis = Millis(800);
 
@@ -44,7 +44,7 @@
 /// Age of the leader's last heartbeat up to which this host relies on the leader's key changes.
 const LEADER_TIMEOUT: Millis = Millis(1_000);
 
-/// All feeds whose changes every host must get at once: configuration, servers, leader and core hosts.
+/// All feeds whose changes every host must receive at once: configuration, servers, leader and core hosts.
 pub(crate) const FEEDS: [Feed; FEED_COUNT] = [Feed::Operator, Feed::Servers, LIVE];
 
 /// Starts a watch of each feed, which runs while this host watches the store itself.
@@ -75,7 +75,7 @@
                 record_store_call(&router, "records", None);
                 let view_changes =
                     router
-                        .view
+                        .store_view
                         .borrow_mut()
                         .replace(router.now(), KEY_RECORDS, &all);
                 router.apply_view_changes(&view_changes);
@@ -118,7 +118,7 @@
 
 /// Why a watch ended.
 enum WatchEnd {
-    /// The watch was cut while the store replies, or the store had an outage: changes may be missing.
+    /// The watch was aborted while the store replies, or the store had an outage: changes may be missing.
     Gap,
     /// The store does not reply, or it refuses the call.
     Failed(StoreError),
@@ -126,7 +126,7 @@
 
 /// Reads a snapshot of a feed and watches from its revision, until a call fails.
 ///
-/// A watch that was cut is not resumed from its last revision. The store cuts its watches a moment before it drops its
+/// An aborted watch is not resumed from its last revision. The store aborts its watches a moment before it drops its
 /// history. A watch sent in that moment from an older revision gets no reply until the next change, and an operator's
 /// earlier change would take seconds to be in force.
 async fn follow_once(router: &Router, feed: Feed, pause: &mut Millis) -> WatchEnd {
@@ -143,7 +143,11 @@
         router.organisations.mark_current(sent);
     }
     loop {
-        let after = router.view.borrow().read_revision(feed).unwrap_or_default();
+        let after = router
+            .store_view
+            .borrow()
+            .read_revision(feed)
+            .unwrap_or_default();
         let recoveries = router.store_recovered.version();
         let lost = router.store_lost.get();
         let watch = pin!(store.changes(&prefix, after, WATCH_MAX));
@@ -165,8 +169,8 @@
                 log::info!(part:? = feed, after = after; "history_gone");
                 return WatchEnd::Gap;
             }
-            // The snapshot that follows shows whether the store replies. If a cut watch counted as an outage at once,
-            // all hosts that follow this one would turn to another relay.
+            // The snapshot that follows shows whether the store replies. If an aborted watch counted as an outage at
+            // once, all hosts that follow this one would select another relay.
             Err(e) => {
                 log::info!(part:? = feed, after = after, error:% = e; "watch_cut");
                 return WatchEnd::Gap;
@@ -192,12 +196,15 @@
     if index.is_some_and(|i| !router.feed_logs.borrow_mut()[i].replace(all)) {
         return;
     }
-    let view_changes = router.view.borrow_mut().replace(router.now(), feed, all);
+    let view_changes = router
+        .store_view
+        .borrow_mut()
+        .replace(router.now(), feed, all);
     router.apply_view_changes(&view_changes);
     router.feed_changed.notify();
 }
 
-/// Applies changes of a feed, and notifies the hosts that follow this one; returns whether the view changed.
+/// Applies changes of a feed, and notifies the hosts that follow this one; returns `true` if the view changed.
 pub(crate) fn apply_changes(router: &Router, feed: Feed, changes: &Changes) -> bool {
     let mut logs = router.feed_logs.borrow_mut();
     let fresh = match feed_index(feed) {
@@ -207,7 +214,7 @@
     drop(logs);
     let now = router.now();
     let view_changes: Vec<_> = {
-        let mut view = router.view.borrow_mut();
+        let mut view = router.store_view.borrow_mut();
         view.advance(feed, changes.revision);
         let fresh = fresh.into_iter();
         fresh.filter_map(|c| view.apply(now, c)).collect()
@@ -270,7 +277,7 @@
     if let Some(e) = error.filter(|_| down) {
         log::warn!(call = call, error:% = e; "store_lost");
     } else {
-        router.view.borrow_mut().record_recovery(router.now());
+        router.store_view.borrow_mut().record_recovery(router.now());
         router.store_recovered.notify();
         log::info!(call = call; "store_back");
     }
--- a/crates/chicoryrail-router/src/control/config_feed/relay.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/relay.rs
@@ -30,7 +30,7 @@
 use crate::messages::encode;
 use crate::state::Router;
 
-/// Longest time for which a reply waits for changes. A host that gets no reply for longer turns to another relay.
+/// Longest time for which a reply waits for changes. A host without a reply for longer selects another relay.
 pub(super) const POLL_MAX: Millis = Millis(400);
 
 /// Largest request body of a following host.
@@ -109,7 +109,7 @@
     let now = router.now();
     let logs = router.feed_logs.borrow();
     let news = std::array::from_fn(|i| logs[i].since(poll.revisions[i]));
-    let recovered_at = router.view.borrow().recovered_at();
+    let recovered_at = router.store_view.borrow().recovered_at();
     let peers = router.peers.borrow();
     RelayReply {
         news,
--- a/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
+++ b/crates/chicoryrail-router/src/control/scheduling/maintenance.rs
@@ -5,23 +5,23 @@
 use chicoryrail_core::Millis;
 use chicoryrail_ownership::SchedulerHost;
 
-use crate::control::scheduling::requests::poll;
+use crate::control::scheduling::requests::assign_waiting;
 use crate::messages::PartName;
 use crate::messages::ServerPace;
 use crate::state::Router;
 
-/// Time between two polls of waiting requests. It covers changes that no message reports to the scheduler: a server
-/// warms up, ends a pause, or is granted its keys.
+/// Time between two attempts to assign waiting requests. It covers changes that no message reports to the scheduler: a
+/// server warms up, ends a pause, or is granted its keys.
 const WAITING_POLL_INTERVAL: Millis = Millis(15);
 
 /// Time between two log lines on each scheduler's utilisation.
 const LOG_INTERVAL: Millis = Millis(1_000);
 
-/// Time between two evaluations of which servers this host schedules. It decides the rate of requests to servers that
-/// are warming up, and that rate allows for two hosts that schedule for the same server.
+/// Time between two evaluations of which servers this host schedules. Which host schedules a server also decides
+/// the rate of requests to it during its warm-up, and that rate allows for two hosts that schedule the same server.
 const RENDEZVOUS_INTERVAL: Millis = Millis(100);
 
-/// Polls the schedulers for waiting requests, and updates which servers this host schedules.
+/// Assigns waiting requests at intervals, and updates which servers this host schedules.
 pub(crate) async fn run_schedulers(router: Rc<Router>) {
     let mut logged = router.now();
     let mut evaluated = (Millis::ZERO, 0);
@@ -35,7 +35,7 @@
             log_schedulers(&router);
         }
         for part in waiting_parts(&router) {
-            poll(&router, &part);
+            assign_waiting(&router, &part);
         }
     }
 }
@@ -46,8 +46,9 @@
     waiting.map(|(part, _)| part.clone()).collect()
 }
 
-/// Updates for each server whether this host schedules it, by rendezvous hashing. `previous` identifies the set of
-/// schedulers at the last call: while it is unchanged, only new servers are evaluated. Returns the current one.
+/// Updates for each server whether this host schedules it, by rendezvous hashing. `previous` is the hash of
+/// the set of schedulers at the last call: while that is unchanged, only new servers are evaluated. Returns the current
+/// hash.
 fn update_scheduled(router: &Router, previous: u64) -> u64 {
     let current = router.peers.borrow().schedulers_hash(router.now());
     let changed = current != previous;
--- a/crates/chicoryrail-router/src/state/target.rs
+++ b/crates/chicoryrail-router/src/state/target.rs
@@ -43,7 +43,7 @@
     pub(crate) pool: ServerPool,
     /// Pacing of requests while the server warms up.
     pub(crate) warmup: RefCell<WarmupPacer>,
-    /// End of the warm-up, as far as is known.
+    /// Latest end of a warm-up that the server has reported; zero if it has reported none.
     pub(crate) warmup_until: Cell<Millis>,
     /// Rate limit that the server's responses advertise.
     pub(crate) limit: Cell<AdvertisedLimit>,
@@ -55,12 +55,12 @@
 }
 
 impl Target {
-    /// Returns whether the server accepts new requests without restriction.
+    /// Returns `true` if the server accepts new requests without restriction.
     pub(crate) fn is_ready(&self) -> bool {
         self.admission.get() == Admission::Open
     }
 
-    /// Returns whether the server may receive new requests now; a draining server may until its end time.
+    /// Returns `true` if the server may receive new requests now; a draining server may until its end time.
     pub(crate) fn accepts_requests(&self, now: Millis) -> bool {
         match self.admission.get() {
             Admission::Open => true,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns whether the server is warming up.
+    /// Returns `true` if the server is warming up.
     pub(crate) fn is_warming_up(&self, now: Millis) -> bool {
         now < self.warmup_until.get()
     }
--- a/crates/chicoryrail-router/src/state/view.rs
+++ b/crates/chicoryrail-router/src/state/view.rs
@@ -95,7 +95,7 @@
         self.site.as_ref()
     }
 
-    /// Returns whether a data centre is taken out of service.
+    /// Returns `true` if a data centre is taken out of service.
     pub(crate) fn is_drained(&self, dc: &DcName) -> bool {
         self.drained_dcs.contains(dc)
     }
@@ -267,7 +267,7 @@
         let member = match read_member(&name, &item.value) {
             Ok(member) => member,
             Err(e) => {
-                // The entry was overwritten with a value that can't be decoded: the old entry no longer holds.
+                // The entry was overwritten with a value that can't be decoded: the old entry is no longer valid.
                 let missing = self.mark_missing(now, name);
                 return self.unreadable(item, e).or(missing);
             }
@@ -308,7 +308,7 @@
 }
 
 impl ServerEntry {
-    /// Returns whether the server is registered as ready for new requests.
+    /// Returns `true` if the server is registered as ready for new requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.member.state == MemberState::Ready
     }
--- a/crates/chicoryrail-router/tests/keys.rs
+++ b/crates/chicoryrail-router/tests/keys.rs
@@ -26,9 +26,9 @@
         world.server("k-2", "kits").await,
     ];
     let router = world.router("a").await;
-    let held = |key: u16| servers.iter().any(|s| s.owns(key));
+    let is_granted = |key: u16| servers.iter().any(|s| s.owns(key));
     wait_until("all keys are granted", async || {
-        KEYS.iter().all(|k| held(*k))
+        KEYS.iter().all(|k| is_granted(*k))
     })
     .await;
     (world, servers, router)
@@ -46,9 +46,9 @@
             world.server("k-3", "kits").await,
         ];
         let routers = [world.router("a").await, world.router("b").await];
-        let held = |key| servers.iter().filter(|s| s.owns(key)).count();
+        let owner_count = |key| servers.iter().filter(|s| s.owns(key)).count();
         wait_until("all keys are granted", async || {
-            KEYS.iter().all(|k| held(*k) == 1)
+            KEYS.iter().all(|k| owner_count(*k) == 1)
         })
         .await;
         for key in KEYS {
@@ -59,7 +59,7 @@
                 names.push(response.headers()[call_header::SERVER].clone());
             }
             assert_eq!(names[0], names[1], "key {key}");
-            assert_eq!(held(key), 1);
+            assert_eq!(owner_count(key), 1);
         }
     });
 }
@@ -103,7 +103,8 @@
 }
 
 /// Guards against unserved keys when the leader is killed during a store outage. No host can replace it before the
-/// store recovers. Its last grants have the longer TTL for outages, so the other host must serve all keys meanwhile.
+/// store recovers. Its last grants have the longer duration for outages, so the other host must serve all keys
+/// meanwhile.
 #[test]
 fn keys_are_served_when_the_leader_is_lost_in_an_outage() {
     block_on(async {
@@ -133,10 +134,9 @@
     });
 }
 
-/// Guards against a key with two owners after a restart of all hosts. During a store outage grants have a longer TTL.
-/// When the store recovers, every host is killed. An owner with such a grant can't be reached, and its entry is
-/// removed. The new leader has no record of the outage and must not grant the keys to another server before that TTL
-/// ends.
+/// Guards against a key with two owners after a restart of all hosts at the end of a store outage. Grants made during
+/// the outage last longer. An owner with such a grant can't be reached and its entry is removed; the new leader, which
+/// has no record of the outage, must not grant its keys to another server before that grant has expired.
 #[test]
 fn restarted_hosts_allow_for_an_earlier_outage() {
     block_on(async {
--- a/crates/chicoryrail-router/tests/operator.rs
+++ b/crates/chicoryrail-router/tests/operator.rs
@@ -170,10 +170,9 @@
     });
 }
 
-/// Guards against a configuration that is rejected because newer tools wrote an unknown kind of route. The version must
-/// be in force, with its other routes and a new one. A request on the unknown route whose response is lost is not
-/// retried, since it may not be idempotent. The unknown value is logged once for each version, also when it is
-/// rewritten.
+/// Guards against a configuration that is rejected because newer tools wrote an unknown kind of route. All its routes
+/// must be in force. A request on the unknown route whose response is lost must not be retried, since it may not be
+/// idempotent, and the unknown value is logged once for each version, also when it is rewritten.
 #[test]
 fn an_unknown_kind_of_route_affects_only_that_route() {
     block_on(async {
--- a/crates/chicoryrail-router/tests/partitioned.rs
+++ b/crates/chicoryrail-router/tests/partitioned.rs
@@ -11,7 +11,7 @@
 use support::Server;
 use support::World;
 
-/// Servers per data centre: enough for separate scheduling.
+/// Servers per data centre: above `SERVERS_PER_PART_MIN` (12), so each data centre is scheduled separately.
 const SERVERS_PER_DC: usize = 14;
 
 async fn start_servers(world: &World, dc: &str) -> Vec<Rc<Server>> {
@@ -30,13 +30,13 @@
     servers
 }
 
-fn runs(servers: &[Rc<Server>]) -> usize {
+fn executed(servers: &[Rc<Server>]) -> usize {
     servers.iter().map(|s| s.executed()).sum()
 }
 
-/// Guards against requests that leave their callers' data centre although it has free slots, and against requests that
-/// queue or are refused although the other data centre has free slots: requests of a burst beyond the slots of one data
-/// centre run in the other one at once.
+/// A burst exceeds the free slots of its data centre by four. Guards against requests that leave their data centre
+/// while it has free slots, and against the rest of the burst waiting or being refused instead of running in the other
+/// one.
 #[test]
 fn a_burst_overflows_to_the_other_data_centre() {
     block_on(async {
@@ -44,16 +44,17 @@
         world.configure().await;
         let west = start_servers(&world, "west").await;
         let east = start_servers(&world, "east").await;
+        // The router is in the data centre west.
         let router = world.router("a").await;
-        // The parts exchange their free slots at intervals.
+        // The schedulers of the two parts send each other their numbers of free slots at intervals.
         monoio::time::sleep(Millis(600).to_duration()).await;
         for _ in 0..4 {
             assert_eq!(router.caller().get("/read/1").await.unwrap().status(), 200);
         }
-        assert_eq!((runs(&west), runs(&east)), (4, 0));
+        assert_eq!((executed(&west), executed(&east)), (4, 0));
         let callers: Vec<_> = (0..SERVERS_PER_DC + 4).map(|_| router.caller()).collect();
         let responses = join_all(callers.iter().map(|c| c.get("/read/1"))).await;
         assert!(responses.into_iter().all(|r| r.unwrap().status() == 200));
-        assert_eq!((runs(&west), runs(&east)), (4 + SERVERS_PER_DC, 4));
+        assert_eq!((executed(&west), executed(&east)), (4 + SERVERS_PER_DC, 4));
     });
 }
--- a/crates/chicoryrail-router/tests/support/world.rs
+++ b/crates/chicoryrail-router/tests/support/world.rs
@@ -43,7 +43,7 @@
 /// CPU share of a host that remains a leaf host while there are enough core hosts.
 const LOW_CPU_SHARE: &str = "0.05";
 
-/// Polls `done` every 10 ms until it returns true.
+/// Polls `done` every 10 ms until it returns `true`.
 ///
 /// # Panics
 ///
@@ -109,7 +109,7 @@
         self.store_addr
     }
 
-    /// Returns the configuration with the next version.
+    /// Returns a configuration with the next version, which is higher by three.
     pub fn next_config(&self) -> Value {
         let version = self.version.get() + 3;
         self.version.set(version);
@@ -233,22 +233,22 @@
         router
     }
 
-    /// Starts a router process on a host with a small CPU share that reaches the store at `store`.
+    /// Starts a router process on a host with a small CPU share; `store` is the address at which it reaches the store.
     pub fn spawn_low_power_at(&self, name: &str, store: SocketAddr) -> RouterProcess {
         self.spawn_at(name, LOW_CPU_SHARE, store)
     }
 
     /// Starts a router process on a host with this CPU share.
-    fn spawn_on(&self, name: &str, core: &str) -> RouterProcess {
-        self.spawn_at(name, core, self.store_addr)
+    fn spawn_on(&self, name: &str, cpu_share: &str) -> RouterProcess {
+        self.spawn_at(name, cpu_share, self.store_addr)
     }
 
-    fn spawn_at(&self, name: &str, core: &str, store: SocketAddr) -> RouterProcess {
+    fn spawn_at(&self, name: &str, cpu_share: &str, store: SocketAddr) -> RouterProcess {
         let [callers, readiness, peer_addr] = [(); 3].map(|()| free_addr().unwrap());
         let boot = self.dir.join(format!("{name}.toml"));
         let text = include_str!("boot.toml")
             .replace("NAME", name)
-            .replace("CORE", core)
+            .replace("CORE", cpu_share)
             .replace("CALLERS", &callers.to_string())
             .replace("READINESS", &readiness.to_string())
             .replace("TALK", &peer_addr.port().to_string())
