--- a/crates/chicoryrail-policy/src/admission/api_key_index.rs
+++ b/crates/chicoryrail-policy/src/admission/api_key_index.rs
@@ -35,7 +35,7 @@
         index
     }
 
-    /// Returns the organisation with this API key.
+    /// Returns the organisation with this API key; `None` if the key is unknown.
     #[must_use]
     pub fn find(&self, key: &[u8]) -> Option<&Arc<Organisation>> {
         self.by_digest.get(&self.digest(key))
--- a/crates/chicoryrail-policy/src/lib.rs
+++ b/crates/chicoryrail-policy/src/lib.rs
@@ -1,9 +1,9 @@
 //! Scheduling, load balancing, quotas and admission of chicoryrail, without input or output.
 //!
 //! A [`Scheduler`] decides for all hosts which request goes to which server of a service, which requests wait and which
-//! are refused. [`LocalBalancer`] selects servers for one host that can't reach the scheduler, among servers that other
-//! hosts send to as well. Time and random numbers are arguments: nothing here opens a socket or reads a clock, so a
-//! test simulates any load without waiting.
+//! are refused. [`LocalBalancer`] selects servers for a host that can't reach the scheduler, and allows for the
+//! requests that other hosts send to the same servers. Time and random numbers are arguments: nothing here opens a
+//! socket or reads a clock, so tests can simulate any load without waiting.
 //!
 //! # Example
 //!
@@ -18,7 +18,9 @@
 //!
 //! let now = Millis(10);
 //! let mut scheduler = Scheduler::default();
+//! // A server with two slots.
 //! scheduler.update_server(now, ServerId(0), ServerStatus::warm(2));
+//! // The most urgent priority, and 5 ms of work at a usual server.
 //! let request = SlotRequest {
 //!     ticket: 1, priority: 0, latency_target: now + Millis(300), deadline: now + Millis(1_000),
 //!     work_us: 5_000.0, key: None, excluded: Vec::new(), dc_index: 0, large_response: false,
@@ -28,11 +30,11 @@
 //! assert_eq!(decisions, [(1, Decision::Send(ServerId(0)))]);
 //! ```
 //!
-//! [`ApiKeyIndex`] finds the organisation of a request, [`Freshness`] checks that this is still up to date, and
-//! [`QuotaPool`] and [`QuotaShare`] keep organisations within their limits over all hosts.
+//! [`ApiKeyIndex`] finds the organisation of a request, [`Freshness`] checks that the configuration behind that index
+//! is recent enough, and [`QuotaPool`] and [`QuotaShare`] keep organisations within their limits over all hosts.
 //!
 //! See also [`WarmupPacer`] for servers that warm up, [`RetryBudget`] for retries, and [`retry_after`] for the time
-//! after which a refused caller retries.
+//! that a refused caller is told to wait before it retries.
 
 mod admission;
 mod local;
--- a/crates/chicoryrail-policy/src/local/advertised_limit.rs
+++ b/crates/chicoryrail-policy/src/local/advertised_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limit that a server advertises.
+//! Parses the rate limits that servers advertise in their responses, and decides how long a limit applies.
 
 use chicoryrail_core::Millis;
 
@@ -7,13 +7,13 @@
 const LIMIT_HOLD_TIME: Millis = Millis(2_000);
 
 /// Time after which a limit that is not advertised again expires in any case. A host that sends the server no requests
-/// receives no responses from it.
+/// receives no responses that could remove the limit.
 const LIMIT_EXPIRY_TIME: Millis = Millis(10_000);
 
 /// Rate that a server's response advertises.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdvertisedRate {
-    /// Any rate.
+    /// No limit.
     Unlimited,
     /// Requests per second from all hosts together.
     Limited(f64),
@@ -49,20 +49,22 @@
 /// Rate limit of a server, as advertised by its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AdvertisedLimit {
+    /// Requests per second, by the last response that advertised a limit; `None` without a limit.
     rate: Option<f64>,
-    seen_at: Millis,
+    /// Time of that response.
+    advertised_at: Millis,
 }
 
 impl AdvertisedLimit {
-    /// Applies the rate that a response advertises. Returns `true` if the limit changed.
+    /// Applies the rate that a response advertises. Returns `true` if this changes the limit.
     pub fn record(&mut self, now: Millis, advertised: AdvertisedRate) -> bool {
         let before = self.rate(now);
         match advertised {
             AdvertisedRate::Limited(rate) => {
                 self.rate = Some(rate);
-                self.seen_at = now;
+                self.advertised_at = now;
             }
-            AdvertisedRate::Unlimited if now.since(self.seen_at) >= LIMIT_HOLD_TIME => {
+            AdvertisedRate::Unlimited if now.since(self.advertised_at) >= LIMIT_HOLD_TIME => {
                 self.rate = None;
             }
             AdvertisedRate::Unlimited => {}
@@ -73,7 +75,7 @@
     /// Returns the requests per second that the server accepts from all hosts together; `None` without a limit.
     #[must_use]
     pub fn rate(&self, now: Millis) -> Option<f64> {
-        let is_current = now.since(self.seen_at) <= LIMIT_EXPIRY_TIME;
+        let is_current = now.since(self.advertised_at) <= LIMIT_EXPIRY_TIME;
         self.rate.filter(|_| is_current)
     }
 }
--- a/crates/chicoryrail-policy/src/local/load_report.rs
+++ b/crates/chicoryrail-policy/src/local/load_report.rs
@@ -1,21 +1,21 @@
-//! Load that a server reports.
+//! Parses the load reports in the responses of servers.
 
 /// Load that a server reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Number of requests that it processes.
+    /// Number of requests that the server processes.
     pub running: u32,
-    /// Number of requests that wait at it.
+    /// Number of requests that wait at the server.
     pub waiting: u32,
-    /// Number of requests that it processes concurrently at most.
+    /// Maximum number of requests that the server processes concurrently.
     pub slots: u32,
-    /// Current time for work, in percent of the usual time.
+    /// Time that work currently takes, in percent of the usual time, from 1 to 10,000.
     pub slowdown_percent: u32,
 }
 
 impl LoadReport {
-    /// Parses `running,waiting,slots[,slowdown]`; returns `None` for any other text. Without the slowdown, the time
-    /// is the usual one.
+    /// Parses `running,waiting,slots[,slowdown]`; returns `None` if a number is missing or invalid. Without a slowdown,
+    /// work takes the usual time. Further fields are ignored.
     ///
     /// # Example
     ///
--- a/crates/chicoryrail-policy/src/local/local_balancer.rs
+++ b/crates/chicoryrail-policy/src/local/local_balancer.rs
@@ -1,4 +1,4 @@
-//! Selects the server of a service for a request.
+//! Selects a server for a request without a scheduler.
 
 use std::collections::HashMap;
 
@@ -14,7 +14,7 @@
 /// some reset the connection, and a request that must not run twice is lost.
 const QUEUE_LENGTH_MAX: f64 = 3.0;
 
-/// Random fraction added to the costs, so that hosts don't all select the same one of several similar servers.
+/// Maximum random fraction added to the costs, so that hosts don't all select the same one of several similar servers.
 const JITTER: f64 = 0.15;
 
 /// Load of a service's servers as one host sees it.
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Estimates the time until a server without capacity has some.
+    /// Estimates the time until a full server has a free slot; zero for an unknown server.
     #[must_use]
     pub fn capacity_in(&self, now: Millis, server: ServerId, work_us: f64) -> Millis {
         self.views.get(&server).map_or(Millis::ZERO, |v| {
@@ -76,7 +76,8 @@
         })
     }
 
-    /// Estimates the time to a successful response of one more request, in microseconds.
+    /// Estimates the time to a successful response of one more request, in microseconds; infinite for an unknown
+    /// server.
     fn cost(&self, now: Millis, server: ServerId, work_us: f64) -> f64 {
         let Some(view) = self.views.get(&server) else {
             return f64::INFINITY;
@@ -86,6 +87,7 @@
         // A nearly full server is a little slower than an idle one, even before requests queue.
         let fill_cost = (view.load(now) / slots).min(1.0) * 0.1;
         let success_rate = (1.0 - view.failure_rate(now)).max(0.05);
+        // The expected number of tries is squared, as a failure costs the caller more than the time.
         work_us * view.slowness(now) * (1.0 + queued + fill_cost) / (success_rate * success_rate)
     }
 
--- a/crates/chicoryrail-policy/src/local/server_view.rs
+++ b/crates/chicoryrail-policy/src/local/server_view.rs
@@ -1,4 +1,4 @@
-//! State of one server as one host sees it.
+//! Estimates a server's load, slowness and failure rate from its responses and load reports.
 
 use chicoryrail_core::Millis;
 
@@ -17,22 +17,23 @@
     Silent,
 }
 
-/// Half-life of the reported requests of other hosts. It is about the time of one request, after which most of the
-/// server's work at the time of the report is done.
+/// Half-life of the reported requests of other hosts. It is about the time of one request, after which the server has
+/// done most of the work that it had at the time of the report.
 const OTHERS_HALF_LIFE_MS: f64 = 150.0;
 /// Half-life of a reported slowdown. It depends on the other programs on the same machine and changes several times a
 /// second.
 const SLOWDOWN_HALF_LIFE_MS: f64 = 200.0;
-/// Weight of a new observation in the mean slowness of a server. Single requests differ by a factor of two.
+/// Weight of a new observation in the mean slowness of a server. It is low, as single requests differ by a factor of
+/// two.
 const SLOWNESS_SMOOTHING: f64 = 0.06;
 /// Weight of a new observation in the failure rate.
 const FAILURE_SMOOTHING: f64 = 0.12;
 /// Half-life of the failure rate, so that a server that received no requests for a while is tried again.
 const FAILURE_HALF_LIFE_MS: f64 = 2_500.0;
-/// Pause of a server that reported that it is full.
+/// Time for which a server that refused a request as full gets no more.
 const FULL_SERVER_PAUSE: Millis = Millis(30);
 /// Step of the pause of a server whose connections fail: none after the first failure, then one step more after each,
-/// up to three. Each host tries a lost server again after this pause.
+/// up to three. Each host tries a lost server again after the pause.
 const BROKEN_SERVER_PAUSE: Millis = Millis(250);
 
 /// State of one server as one host sees it.
@@ -41,14 +42,20 @@
     pub(crate) slots: u32,
     /// Own requests in flight.
     pub(crate) own_requests: u32,
+    /// Requests of other hosts at `reported_at`; this number decays.
     other_requests: f64,
+    /// Time for work by the last load report, relative to the server's usual time; decays from `reported_at`.
     slowdown: f64,
+    /// Time of the last load report, or of the last refusal as full.
     reported_at: Millis,
-    /// Mean time for work, relative to the other servers.
+    /// Mean time for work, relative to a usual server and without the reported slowdowns.
     pub(crate) mean_slowness: f64,
+    /// Failure rate at `failure_rate_at`.
     failure_rate: f64,
-    failures_at: Millis,
+    /// Time at which the failure rate was last updated.
+    failure_rate_at: Millis,
     paused_until: Millis,
+    /// Number of broken sends since the last successful response.
     broken_sends: u32,
 }
 
@@ -62,7 +69,7 @@
             reported_at: Millis::ZERO,
             mean_slowness: 1.0,
             failure_rate: 0.0,
-            failures_at: Millis::ZERO,
+            failure_rate_at: Millis::ZERO,
             paused_until: Millis::ZERO,
             broken_sends: 0,
         }
@@ -74,7 +81,7 @@
             + self.other_requests * decay(now, self.reported_at, OTHERS_HALF_LIFE_MS)
     }
 
-    /// Estimates the time for work, relative to a usual server without a slowdown.
+    /// Estimates the current time for work, relative to a usual server without a slowdown.
     pub(crate) fn slowness(&self, now: Millis) -> f64 {
         let slowdown =
             1.0 + (self.slowdown - 1.0) * decay(now, self.reported_at, SLOWDOWN_HALF_LIFE_MS);
@@ -83,10 +90,10 @@
 
     /// Estimates the fraction of requests that fail.
     pub(crate) fn failure_rate(&self, now: Millis) -> f64 {
-        self.failure_rate * decay(now, self.failures_at, FAILURE_HALF_LIFE_MS)
+        self.failure_rate * decay(now, self.failure_rate_at, FAILURE_HALF_LIFE_MS)
     }
 
-    /// Returns `true` if the server is paused and gets no requests for a moment.
+    /// Returns `true` if the server gets no requests now because it was full or its connections failed.
     pub(crate) fn is_paused(&self, now: Millis) -> bool {
         now < self.paused_until
     }
@@ -101,7 +108,7 @@
     }
 
     /// Records that a response took `elapsed_us` where a usual server takes `usual_us`. `had_slot` is `true` if the
-    /// request found a free slot.
+    /// request found a free slot; only then the mean slowness is updated.
     pub(crate) fn record_response(
         &mut self,
         now: Millis,
@@ -119,7 +126,7 @@
         }
     }
 
-    /// Records a failure.
+    /// Records a failure, and pauses the server if it is full or its connections fail repeatedly.
     pub(crate) fn record_failure(&mut self, now: Millis, failure: Failure) {
         match failure {
             Failure::Full => {
@@ -140,7 +147,7 @@
     fn record_outcome(&mut self, now: Millis, failed: bool) {
         let before = self.failure_rate(now);
         self.failure_rate = before + (f64::from(u8::from(failed)) - before) * FAILURE_SMOOTHING;
-        self.failures_at = now;
+        self.failure_rate_at = now;
     }
 }
 
--- a/crates/chicoryrail-policy/src/local/warmup_pacer.rs
+++ b/crates/chicoryrail-policy/src/local/warmup_pacer.rs
@@ -2,8 +2,9 @@
 
 use chicoryrail_core::Millis;
 
-/// Length of a second at the sending host, in milliseconds. Requests are counted where they arrive: two that were sent
-/// a second apart may arrive closer together, by the jitter of a loaded host and its links.
+/// Time in which a host sends its share of the requests per second, in milliseconds. It is longer than a second because
+/// requests are counted where they arrive: two that were sent a second apart may arrive closer together, by the jitter
+/// of a loaded host and its links.
 const WARMUP_SECOND_MS: f64 = 1_120.0;
 
 /// Rate limiter of one host for one server that warms up.
@@ -17,18 +18,18 @@
 }
 
 impl WarmupPacer {
-    /// Returns `true` if a request may be sent now, and counts it as sent.
+    /// Returns `true` if a request may be sent now, and counts it as sent. With a rate of 0, none may be sent.
     ///
-    /// `bound` is the number of requests per second, from all `hosts` together, that the server can process.
-    pub fn try_take(&mut self, now: Millis, bound: f64, hosts: usize) -> bool {
-        if now < self.next_send || bound <= 0.0 {
+    /// `rate_max` is the number of requests per second, from all `hosts` together, that the server can process.
+    pub fn try_take(&mut self, now: Millis, rate_max: f64, hosts: usize) -> bool {
+        if now < self.next_send || rate_max <= 0.0 {
             return false;
         }
         let hosts = hosts.max(1) as f64;
-        // In the worst case all hosts send at the same moment, and windows slide. So each host sends a whole number of
-        // requests in any second. With more hosts than requests in the bound no whole number fits, and the moments of
-        // the hosts' sends are random.
-        let per_host = (bound / hosts).floor().max((bound / hosts).min(1.0));
+        // The rate must hold in any period of a second, even if all hosts send at the same moment. So each host's share
+        // is rounded down to a whole number of requests per second. With more hosts than requests per second, the share
+        // is below 1 and is not rounded, and the moments of the hosts' sends are random.
+        let per_host = (rate_max / hosts).floor().max((rate_max / hosts).min(1.0));
         self.next_send = now + Millis((WARMUP_SECOND_MS / per_host).ceil() as u64);
         true
     }
--- a/crates/chicoryrail-policy/src/local/weights.rs
+++ b/crates/chicoryrail-policy/src/local/weights.rs
@@ -7,13 +7,15 @@
 /// request.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedRoundRobin {
+    /// Weights of the last call.
     weights: Vec<u32>,
+    /// Weight that each choice has accumulated since its last turns; the choice with the most is next.
     credit: Vec<i64>,
 }
 
 impl WeightedRoundRobin {
-    /// Returns the index of the next choice. `start` (0 to 1) shifts the first turn, so that many hosts don't all begin
-    /// with the choice of the greatest weight.
+    /// Returns the index of the next choice; 0 if there are none. `start` (0 to 1) shifts the first turn, so that many
+    /// hosts don't all begin with the choice of the greatest weight.
     pub fn next(&mut self, weights: &[u32], start: f64) -> usize {
         let total: i64 = weights.iter().map(|w| i64::from(*w)).sum();
         if self.weights != weights {
--- a/crates/chicoryrail-policy/src/server_id.rs
+++ b/crates/chicoryrail-policy/src/server_id.rs
@@ -1,5 +1,5 @@
 //! Identifiers of servers within this crate.
 
-/// Identifies a server within one process. The process assigns the numbers; other processes use other ones.
+/// Number of a server, assigned by this process. Another process may assign another number to the same server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
--- a/crates/chicoryrail-policy/tests/admission.rs
+++ b/crates/chicoryrail-policy/tests/admission.rs
@@ -42,11 +42,14 @@
 #[case::within(5_800, true)]
 #[case::clock_drift(5_890, false)]
 #[case::beyond(6_000, false)]
-fn keys_are_accepted_within_the_bound_of_the_last_proof(#[case] now: u64, #[case] is_fresh: bool) {
+fn keys_are_accepted_within_the_bound_of_the_last_verification(
+    #[case] now: u64,
+    #[case] is_fresh: bool,
+) {
     let mut freshness = Freshness::default();
     assert!(!freshness.is_fresh(Millis(now), Millis(5_000)));
     freshness.mark_current(Millis(1_000));
-    // A reply that was delayed for long proves less than one that arrived before it.
+    // A delayed reply to an earlier call does not replace a later verification.
     freshness.mark_current(Millis(400));
     assert_eq!(freshness.is_fresh(Millis(now), Millis(5_000)), is_fresh);
 }
--- a/crates/chicoryrail-policy/tests/shared.rs
+++ b/crates/chicoryrail-policy/tests/shared.rs
@@ -49,10 +49,10 @@
 }
 
 /// Guards against retry storms: every server of a service fails and every request is to be retried. Over any window the
-/// retries of all hosts stay within the bound, even if requests are distributed unevenly.
+/// retries of all hosts stay within the limit, even if requests are distributed unevenly.
 #[test]
 fn retries_of_all_hosts_stay_within_the_bound() {
-    let bound = RetryLimits {
+    let limits = RetryLimits {
         ratio: 0.2,
         slack: 60.0,
         window: Millis(10_000),
@@ -64,9 +64,9 @@
     for ms in 0..40_000 {
         for (i, host) in hosts.iter_mut().enumerate() {
             if rng.random_bool(0.002 * (i + 1) as f64) {
-                host.record_request(Millis(ms), &bound);
+                host.record_request(Millis(ms), &limits);
                 requests.push(ms);
-                if host.try_take(Millis(ms), &bound) {
+                if host.try_take(Millis(ms), &limits) {
                     retries.push(ms);
                 }
             }
@@ -183,16 +183,16 @@
 #[case::advertised_and_removed(&[(0, Some(2.0)), (2_100, None)], 2_100, None)]
 #[case::overtaken(&[(0, Some(2.0)), (100, None)], 100, Some(2.0))]
 #[case::changed(&[(0, Some(2.0)), (100, Some(5.5))], 100, Some(5.5))]
-#[case::some_answers(&[(0, Some(2.0)), (900, None), (1_500, Some(2.0)), (2_900, None)], 2_900, Some(2.0))]
+#[case::some_responses(&[(0, Some(2.0)), (900, None), (1_500, Some(2.0)), (2_900, None)], 2_900, Some(2.0))]
 #[case::never_advertised(&[(0, None)], 0, None)]
 #[case::expired(&[(0, Some(2.0))], 10_100, None)]
-fn a_limit_holds_while_answers_advertise_it(
-    #[case] answers: &[(u64, Option<f64>)],
+fn a_limit_holds_while_responses_advertise_it(
+    #[case] responses: &[(u64, Option<f64>)],
     #[case] at: u64,
     #[case] rate: Option<f64>,
 ) {
     let mut limit = AdvertisedLimit::default();
-    for (at, advertised) in answers {
+    for (at, advertised) in responses {
         let notice = advertised.map_or(AdvertisedRate::Unlimited, AdvertisedRate::Limited);
         limit.record(Millis(5_000 + at), notice);
     }
