--- a/crates/chicoryrail-policy/src/quota/mod.rs
+++ b/crates/chicoryrail-policy/src/quota/mod.rs
@@ -1,8 +1,8 @@
 //! Limits the number of requests of each organisation, summed over all hosts.
 //!
 //! One host, the leader, holds a [`QuotaPool`] for each organisation with a limit. Schedulers lease tokens from it
-//! ahead of demand, each in a [`QuotaShare`], so that no request waits for a token. A host that reaches no scheduler
-//! spends a small fraction of the limit on its own, a [`StandaloneShare`].
+//! ahead of demand, each in a [`QuotaShare`], so that requests within the limit need not wait for a token. A host that
+//! reaches no scheduler spends a small fraction of the limit on its own, a [`StandaloneShare`].
 
 mod quota_pool;
 mod quota_share;
--- a/crates/chicoryrail-policy/src/quota/quota_pool.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_pool.rs
@@ -1,4 +1,4 @@
-//! Tokens of one organisation at the leader.
+//! Grants the tokens of one organisation to schedulers and counts the requests that they admit.
 
 use std::collections::BTreeMap;
 
@@ -12,20 +12,23 @@
 use crate::quota::sliding_window::SlidingWindow;
 use crate::quota::token_bucket::TokenBucket;
 
-/// Time without a report after which a host's tokens count as spent.
+/// Time without a report after which a host's tokens count as spent. It is three times the longest interval between
+/// reports, and longer than [`QUOTA_LEADER_TIMEOUT`](crate::QUOTA_LEADER_TIMEOUT), after which a host without replies
+/// drops its granted tokens and spends its own share of the limit.
 const REPORT_TIMEOUT: Millis = Millis(3_000);
 
 /// Tokens of one organisation at the leader.
 ///
 /// Guards against admitting more than the limit when many schedulers each receive a changing fraction of an
 /// organisation's requests and none sees all of them. In any window, the admitted requests and the unused tokens at
-/// schedulers together stay within the limit. Within that limit a flood is spread over the window; otherwise it would
-/// be served whole at first and then not at all.
+/// schedulers together stay within the limit. A token bucket spreads grants over the window. Without it, a burst of
+/// requests could use up the whole limit at once, and nothing would be admitted for the rest of the window.
 #[derive(Clone, Debug)]
 pub struct QuotaPool {
     started: Millis,
     /// Admitted requests; `None` before the first report.
     admitted: Option<SlidingWindow>,
+    /// Tokens that may be granted now.
     bucket: TokenBucket,
     leases: BTreeMap<HostName, HostLease>,
 }
@@ -33,26 +36,30 @@
 /// Tokens leased to one host.
 #[derive(Clone, Copy, Debug, Default)]
 struct HostLease {
+    /// Tokens granted to the host in the leader's term.
     granted: u64,
+    /// Tokens that the host has returned in the leader's term, by its last report.
     returned: u64,
-    /// Requests that the host has admitted, by its last report.
+    /// Requests that the host has admitted since it started, by its last report.
     spent: i64,
+    /// Tokens that the host holds by its last report, plus the grants that it has not received yet.
     held: i64,
+    /// Tokens that the host should hold for its demand, by its last report.
     want: u64,
-    /// Fractional tokens left over from the host's last grants. They add up, so that few tokens go to each host in
-    /// turn.
+    /// Fraction of a token carried over from the host's previous share. It accumulates, so that when there are fewer
+    /// tokens than hosts, each host gets a whole one from time to time.
     remainder: f64,
     reported_at: Millis,
 }
 
 impl HostLease {
-    /// Returns the number of tokens that the host lacks.
-    fn need(&self) -> f64 {
+    /// Returns by how many tokens `held` is below `want`.
+    fn shortfall(&self) -> f64 {
         (self.want as i64 - self.held).max(0) as f64
     }
 }
 
-/// Limits within which the leader grants tokens.
+/// Limit of the organisation and state of the cluster that a report is handled under.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolParams {
     /// Term of the leader.
@@ -68,9 +75,9 @@
 }
 
 impl PoolParams {
-    /// Returns the number of tokens that may be granted in addition to the limit.
-    fn burst_extra(&self) -> f64 {
-        self.tolerance.burst_extra(self.limit)
+    /// Returns the number of tokens by which grants may exceed both the burst and the window limit.
+    fn grant_tolerance(&self) -> f64 {
+        self.tolerance.grant_tolerance(self.limit)
     }
 }
 
@@ -87,7 +94,7 @@
         }
     }
 
-    /// Applies a host's report and grants it the tokens that it lacks, as far as available.
+    /// Applies a host's report and grants the host its shortfall of tokens, as far as available.
     pub fn report(
         &mut self,
         now: Millis,
@@ -97,15 +104,16 @@
     ) -> QuotaGrant {
         self.expire_unreported(now);
         self.apply_report(now, host, report, params);
-        let in_window = self.free_in_window(now, params);
+        let in_window = self.refill_and_count_free(now, params);
         let available = in_window.min(self.bucket.tokens);
-        let needs: f64 = self.leases.values().map(HostLease::need).sum();
+        let shortfalls: f64 = self.leases.values().map(HostLease::shortfall).sum();
         let lease = self.leases.entry(host.clone()).or_default();
-        // With too few tokens for all, the host that reports first leaves the others their shares.
-        let share = lease.need() * available.max(0.0) / needs.max(1.0) + lease.remainder;
+        // If there are too few tokens for all hosts, each gets a share in proportion to its shortfall, so the first to
+        // report does not take them all.
+        let share = lease.shortfall() * available.max(0.0) / shortfalls.max(1.0) + lease.remainder;
         lease.remainder = share.fract();
         let new_tokens = lease
-            .need()
+            .shortfall()
             .min(share.floor())
             .min(available.floor())
             .max(0.0);
@@ -119,30 +127,33 @@
         }
     }
 
-    /// Returns the tokens left in the window, and refills the bucket of tokens that may be granted at once.
-    fn free_in_window(&mut self, now: Millis, params: &PoolParams) -> f64 {
-        let window = params.tolerance.window;
+    /// Refills the bucket of tokens that may be granted now, and returns the number of tokens left in the window.
+    fn refill_and_count_free(&mut self, now: Millis, params: &PoolParams) -> f64 {
+        let window_length = params.tolerance.window;
         let window_limit = params.tolerance.window_limit(params.limit);
         let limit = window_limit * params.connected_fraction.clamp(0.0, 1.0);
         let held: i64 = self.leases.values().map(|l| l.held.max(0)).sum();
-        let admitted = self.window(params).count(now);
-        let rate = limit * 1_000.0 / window.0.max(1) as f64;
-        let capacity = (params.limit.burst + params.burst_extra() - held as f64).max(0.0);
+        let admitted_count = self.admitted_window(params).count(now);
+        let rate = limit * 1_000.0 / window_length.0.max(1) as f64;
+        let capacity = (params.limit.burst + params.grant_tolerance() - held as f64).max(0.0);
         self.bucket.refill(now, rate, capacity);
-        limit + params.burst_extra() - admitted - held as f64
+        limit + params.grant_tolerance() - admitted_count - held as f64
     }
 
-    /// Returns the admitted requests in the window. The leader does not know what was admitted before its term, so it
-    /// assumes as much as the limit allows, with the burst as late as possible.
-    fn window(&mut self, params: &PoolParams) -> &mut SlidingWindow {
-        let QuotaTolerance { window, .. } = params.tolerance;
+    /// Returns the window of admitted requests. The leader does not know what was admitted before its term, so it
+    /// assumes as much as the limit allows, with the burst as late as possible, since it then leaves the window last.
+    fn admitted_window(&mut self, params: &PoolParams) -> &mut SlidingWindow {
+        let QuotaTolerance {
+            window: window_length,
+            ..
+        } = params.tolerance;
         let limit = params.limit;
         self.admitted.get_or_insert_with(|| {
             let window_limit = params.tolerance.window_limit(limit);
-            let mut admitted =
-                SlidingWindow::filled(self.started, window, window_limit - limit.burst);
-            admitted.add(self.started, limit.burst + params.burst_extra());
-            admitted
+            let mut window =
+                SlidingWindow::filled(self.started, window_length, window_limit - limit.burst);
+            window.add(self.started, limit.burst + params.grant_tolerance());
+            window
         })
     }
 
@@ -150,17 +161,19 @@
     fn expire_unreported(&mut self, now: Millis) {
         let overdue = self.leases.values_mut();
         let overdue = overdue.filter(|l| now.since(l.reported_at) > REPORT_TIMEOUT);
-        let held = overdue.map(|l| {
+        // The tokens are cleared so that they are counted only once, and the demand so that it lowers no other host's
+        // share.
+        let unreported = overdue.map(|l| {
             l.want = 0;
             std::mem::take(&mut l.held).max(0)
         });
-        let held: i64 = held.sum();
-        if let Some(admitted) = self.admitted.as_mut().filter(|_| held > 0) {
-            admitted.add(now, held as f64);
+        let unreported: i64 = unreported.sum();
+        if let Some(admitted) = self.admitted.as_mut().filter(|_| unreported > 0) {
+            admitted.add(now, unreported as f64);
         }
     }
 
-    /// Updates a host's lease from its report.
+    /// Updates a host's lease from its report, or creates it.
     fn apply_report(
         &mut self,
         now: Millis,
@@ -177,6 +190,7 @@
         self.leases.insert(host.clone(), lease);
     }
 
+    /// Returns a host's lease after a report whose counts belong to this term.
     fn update_lease(
         &mut self,
         now: Millis,
@@ -185,7 +199,7 @@
         params: &PoolParams,
     ) -> HostLease {
         let spent = report.spent - previous.spent;
-        self.window(params).add(now, spent as f64);
+        self.admitted_window(params).add(now, spent as f64);
         let returned = report.returned.saturating_sub(previous.returned);
         self.bucket.tokens += returned as f64;
         // Tokens of grants that the host has not received yet count as held.
@@ -201,8 +215,9 @@
         }
     }
 
-    /// Returns the lease of a host that reports another term: the host restarted, or its grants of this term were lost.
-    /// What it admitted on its own since this leader's term began is unknown and counts as its share of the limit.
+    /// Returns the lease of a host whose counts don't belong to this term, or that has no lease: this is its first
+    /// report to this leader, it has restarted, or it has not received a grant of this term yet. What it has admitted
+    /// on its own since this leader's term began is unknown and counts as its share of the limit.
     fn new_lease(
         &mut self,
         now: Millis,
@@ -210,17 +225,19 @@
         report: QuotaReport,
         params: &PoolParams,
     ) -> HostLease {
-        let window = params.tolerance.window;
-        let unobserved = now.since(self.started).min(window);
+        let window_length = params.tolerance.window;
+        let unobserved = now.since(self.started).min(window_length);
         let share = params.tolerance.window_limit(params.limit) / params.schedulers.max(1) as f64;
-        let admitted = share * unobserved.0 as f64 / window.0.max(1) as f64;
-        // Tokens that the host still holds were not spent, although the window assumes that all tokens were. The host
-        // repeats its report until it receives a reply, so they are subtracted only once.
+        let admitted_count = share * unobserved.0 as f64 / window_length.0.max(1) as f64;
+        // The window was filled as if all earlier tokens had been spent, so the tokens that the host still holds are
+        // subtracted. This is done only at its first report, since the host reports them again until it receives a
+        // grant.
         let unspent = match self.leases.contains_key(host) {
             true => 0.0,
             false => report.held.max(0) as f64,
         };
-        self.window(params).add(now, admitted - unspent);
+        self.admitted_window(params)
+            .add(now, admitted_count - unspent);
         HostLease {
             granted: 0,
             returned: 0,
--- a/crates/chicoryrail-policy/src/quota/quota_share.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_share.rs
@@ -1,4 +1,4 @@
-//! Tokens of one organisation at a scheduler.
+//! Spends the tokens of one organisation at a scheduler, and reports their use to the leader.
 
 use bincode::Decode;
 use bincode::Encode;
@@ -9,20 +9,20 @@
 use crate::quota::token_bucket::TokenBucket;
 use crate::quota::token_bucket::time_to_refill;
 
-/// Time without a reply from the leader after which a host spends its own share of each limit. The leader uses the
-/// same time.
+/// Time without a reply from the leader after which a scheduler is standalone: it spends its own share of each limit.
+/// The leader uses the same time without a report to decide which schedulers are standalone.
 pub const QUOTA_LEADER_TIMEOUT: Millis = Millis(500);
 
 /// Duration of demand for which tokens are leased ahead.
 const LEASE_AHEAD_MS: f64 = 300.0;
 
-/// Time after which a host reports again even if nothing has changed, so that its tokens still count as leased.
+/// Time after which a host reports again even if nothing has changed, so that its tokens don't count as spent.
 const REPORT_INTERVAL_MAX: Millis = Millis(1_000);
 
-/// Expected demand, in tokens, below which no token is held for it.
+/// Number of tokens expected to be needed within [`LEASE_AHEAD_MS`] below which none is held for them.
 const LEASE_TOKENS_MIN: f64 = 0.25;
 
-/// Multiple of the wanted tokens above which surplus tokens are returned.
+/// Multiple of the wanted tokens above which the tokens beyond the wanted ones are returned.
 const SURPLUS_FACTOR: i64 = 2;
 
 /// Time over which the demand is averaged.
@@ -33,7 +33,7 @@
 pub struct QuotaReport {
     /// Term that the counts of granted and returned tokens belong to; 0 before the first grant.
     pub term: u64,
-    /// Tokens granted to the host in that term.
+    /// Tokens granted to the host in that term, by the grants that it has received.
     pub granted: u64,
     /// Tokens that the host returned in that term.
     pub returned: u64,
@@ -52,18 +52,18 @@
     pub term: u64,
     /// Total of tokens granted in that term. A later grant therefore includes one that was lost.
     pub granted: u64,
-    /// Whether the admitted requests in the window have reached the limit.
+    /// Whether the admitted requests in the window and the tokens at schedulers have used up the limit.
     pub exhausted: bool,
 }
 
-/// Limit and state of the leader that a share is used under.
+/// Limit of the organisation and state of the cluster that a share is used under.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareParams {
     /// Limit of the organisation.
     pub limit: QuotaLimit,
     /// Number of schedulers.
     pub schedulers: usize,
-    /// Whether the leader has not replied for so long that it counts this host as standalone.
+    /// Whether the leader has not replied for [`QUOTA_LEADER_TIMEOUT`], so that this host spends its own share.
     pub standalone: bool,
     /// Tolerance by which the limit may be exceeded.
     pub tolerance: QuotaTolerance,
@@ -88,10 +88,11 @@
     returned: u64,
     spent: i64,
     held: i64,
-    /// Tokens that accumulate while the leader does not reply.
+    /// Fraction of a token of this host's own share, which accumulates while the leader does not reply.
     standalone_tokens: TokenBucket,
+    /// Whether the host was standalone at the last request for a token.
     was_standalone: bool,
-    /// Whether the limit was reached at the leader's last reply.
+    /// Whether the limit was used up at the leader's last grant.
     exhausted: bool,
     /// Requests for a token since the last report.
     requested: u32,
@@ -135,7 +136,7 @@
             self.standalone_tokens = TokenBucket::empty(now);
             self.was_standalone = false;
         }
-        let advance = (params.tolerance.advance_requests(params.limit) / schedulers) as i64;
+        let advance = (params.tolerance.advance_tolerance(params.limit) / schedulers) as i64;
         if self.held - 1 < -advance {
             return Err(time_to_refill(1.0 - self.held as f64, own_rate));
         }
@@ -144,8 +145,9 @@
         Ok(())
     }
 
-    /// Adds the tokens of this host's own share, at `rate` per second, up to `capacity`. The leader counts the tokens
-    /// that it granted as spent by now, so they are dropped.
+    /// Adds the tokens of this host's own share, at `rate` per second, up to `capacity`. Tokens that the leader granted
+    /// are dropped when the host becomes standalone; the leader counts them as held or spent until it receives a
+    /// report.
     fn refill_standalone(&mut self, now: Millis, rate: f64, capacity: f64) {
         if !self.was_standalone {
             self.held = self.held.min(0);
@@ -157,7 +159,7 @@
         self.held = (self.held + whole_tokens as i64).min(capacity as i64);
     }
 
-    /// Returns the token of a request that did not run.
+    /// Gives back the token of a request that did not run.
     pub fn refund(&mut self) {
         self.held += 1;
         self.spent -= 1;
@@ -183,7 +185,7 @@
         self.held <= self.want(params) / 2
     }
 
-    /// Returns the report to the leader, and returns surplus tokens.
+    /// Creates the report to the leader. This updates the mean demand and gives surplus tokens back to the leader.
     pub fn report(&mut self, now: Millis, params: &ShareParams) -> QuotaReport {
         let elapsed = now.since(self.reported_at).0.max(1) as f64;
         let current = f64::from(self.requested) / elapsed;
@@ -206,9 +208,10 @@
         }
     }
 
+    /// Returns the number of tokens that the host should hold for its demand.
     fn want(&self, params: &ShareParams) -> i64 {
         let needed = self.demand * LEASE_AHEAD_MS;
-        // A single request long ago holds no token that other schedulers need.
+        // After a single request long ago, no token is held that other schedulers need.
         let needed = if needed < LEASE_TOKENS_MIN {
             0.0
         } else {
--- a/crates/chicoryrail-policy/src/quota/quota_tolerance.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_tolerance.rs
@@ -1,4 +1,5 @@
-//! How far a quota limit may be exceeded, and how this tolerance is divided.
+//! How far a quota limit may be exceeded, and how much of this tolerance each purpose may use: requests admitted before
+//! their tokens arrive, and larger grants.
 
 use chicoryrail_core::Millis;
 use chicoryrail_core::QuotaLimit;
@@ -6,13 +7,13 @@
 /// Fraction of the tolerance that schedulers may spend before they receive the tokens for it.
 const ADVANCE_FRACTION: f64 = 0.3;
 
-/// Fraction of the tolerance by which accumulated tokens may exceed the burst.
-const BURST_EXTRA_FRACTION: f64 = 0.3;
+/// Fraction of the tolerance by which the leader's grants may exceed the limit.
+const GRANT_FRACTION: f64 = 0.3;
 
-/// Accumulated tokens per scheduler below which no scheduler holds tokens without demand.
+/// Burst capacity per scheduler below which schedulers hold no base tokens, which are tokens kept without demand.
 const BASE_TOKENS_MIN: f64 = 1.0;
 
-/// Fraction of the accumulated tokens that schedulers hold without demand.
+/// Fraction of the burst capacity that all schedulers together hold as base tokens.
 const BASE_FRACTION: f64 = 0.25;
 
 /// Tolerance by which every limit may be exceeded, summed over all hosts.
@@ -33,27 +34,27 @@
         limit.rate * self.window.0 as f64 / 1_000.0 + limit.burst
     }
 
-    /// Returns the number of requests by which a limit may be exceeded in a window.
+    /// Returns the tolerance of a limit: the number of requests by which it may be exceeded in a window.
     #[must_use]
-    pub fn extra_requests(&self, limit: QuotaLimit) -> f64 {
+    pub fn tolerated_requests(&self, limit: QuotaLimit) -> f64 {
         self.window_limit(limit) * self.ratio + self.slack
     }
 
     /// Returns the number of requests that all schedulers together may admit before they receive the tokens.
-    pub(crate) fn advance_requests(&self, limit: QuotaLimit) -> f64 {
-        self.extra_requests(limit) * ADVANCE_FRACTION
+    pub(crate) fn advance_tolerance(&self, limit: QuotaLimit) -> f64 {
+        self.tolerated_requests(limit) * ADVANCE_FRACTION
     }
 
-    /// Returns the number of tokens that may accumulate in addition to the burst.
-    pub(crate) fn burst_extra(&self, limit: QuotaLimit) -> f64 {
-        self.extra_requests(limit) * BURST_EXTRA_FRACTION
+    /// Returns the number of tokens by which grants may exceed both the burst and the window limit.
+    pub(crate) fn grant_tolerance(&self, limit: QuotaLimit) -> f64 {
+        self.tolerated_requests(limit) * GRANT_FRACTION
     }
 
-    /// Returns the number of tokens that each scheduler holds of a limit without demand, so that a first request finds
-    /// one. All schedulers together hold a fraction of the tokens that may accumulate; the rest follows the demand. If
-    /// there are too few tokens for all schedulers, none holds any.
+    /// Returns the number of tokens of a limit that each scheduler keeps even without demand, so that a first request
+    /// need not wait for a grant. All schedulers together keep a fraction of the burst capacity, and each at least one
+    /// token; the rest follows the demand. If the capacity is too small for all schedulers, none keeps any.
     pub(crate) fn base_tokens(&self, limit: QuotaLimit, schedulers: usize) -> u64 {
-        let per_scheduler = (limit.burst + self.burst_extra(limit)) / schedulers.max(1) as f64;
+        let per_scheduler = (limit.burst + self.grant_tolerance(limit)) / schedulers.max(1) as f64;
         if per_scheduler < BASE_TOKENS_MIN {
             return 0;
         }
--- a/crates/chicoryrail-policy/src/quota/standalone_share.rs
+++ b/crates/chicoryrail-policy/src/quota/standalone_share.rs
@@ -1,4 +1,4 @@
-//! Tokens of one organisation at a host that reaches no scheduler.
+//! Limits the requests of one organisation at a host that reaches no scheduler.
 
 use chicoryrail_core::Millis;
 use chicoryrail_core::QuotaLimit;
@@ -6,11 +6,12 @@
 use crate::quota::token_bucket::TokenBucket;
 use crate::quota::token_bucket::time_to_refill;
 
-/// Fraction of the limit that all hosts together have for requests that no scheduler counts. It lies within the
+/// Fraction of the limit that all hosts together may spend on requests that no scheduler counts. It lies within the
 /// tolerance by which a limit may be exceeded, so the leader need not know which hosts these are.
 const STANDALONE_FRACTION: f64 = 0.2;
 
-/// Tokens of one organisation at a host that reaches no scheduler.
+/// Tokens of one organisation at a host that reaches no scheduler. A scheduler that gets no reply from the leader
+/// spends the larger share of its [`QuotaShare`](crate::QuotaShare) instead.
 #[derive(Clone, Copy, Debug)]
 pub struct StandaloneShare {
     bucket: TokenBucket,
--- a/crates/chicoryrail-policy/src/quota/token_bucket.rs
+++ b/crates/chicoryrail-policy/src/quota/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use chicoryrail_core::Millis;
 
-/// Tokens that accumulate at a rate.
+/// Tokens that accumulate at a given rate up to a given capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct TokenBucket {
     pub(crate) tokens: f64,
--- a/crates/chicoryrail-policy/tests/quota.rs
+++ b/crates/chicoryrail-policy/tests/quota.rs
@@ -51,13 +51,18 @@
     faults: Faults,
     rng: Pcg64Mcg,
     shares: Vec<QuotaShare>,
+    /// Time of each scheduler's last report plus 1; 0 if there is none or it was standalone then.
     reported: Vec<u64>,
-    answered_at: Vec<Option<u64>>,
+    /// Time of the last grant to each scheduler.
+    granted_at: Vec<Option<u64>>,
     pool: QuotaPool,
     term: u64,
+    /// Time from which the leader replies.
     leader_from: u64,
+    /// Times of the admitted requests.
     admitted: Vec<u64>,
     admitted_by: [usize; SCHEDULERS],
+    /// Times of the refused requests.
     refused: Vec<u64>,
     /// Requests that retry for a token: scheduler and time.
     waiting: Vec<(usize, u64)>,
@@ -71,7 +76,7 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             shares: vec![QuotaShare::default(); SCHEDULERS],
             reported: vec![0; SCHEDULERS],
-            answered_at: vec![None; SCHEDULERS],
+            granted_at: vec![None; SCHEDULERS],
             pool: QuotaPool::new(Millis::ZERO),
             term: 1,
             leader_from: 0,
@@ -124,7 +129,7 @@
         ShareParams {
             limit: self.limit,
             schedulers: SCHEDULERS,
-            standalone: self.is_isolated(at, ms),
+            standalone: self.is_standalone(at, ms),
             tolerance: TOLERANCE,
         }
     }
@@ -143,8 +148,8 @@
         }
     }
 
-    fn is_isolated(&self, at: usize, ms: u64) -> bool {
-        self.answered_at[at].is_none_or(|t| ms - t > QUOTA_LEADER_TIMEOUT.0)
+    fn is_standalone(&self, at: usize, ms: u64) -> bool {
+        self.granted_at[at].is_none_or(|t| ms - t > QUOTA_LEADER_TIMEOUT.0)
     }
 
     fn is_cut(&self, at: usize, ms: u64) -> bool {
@@ -162,16 +167,16 @@
         if ms < self.leader_from || self.is_cut(at, ms) || self.is_lost() {
             return;
         }
-        let isolated = self.is_isolated(at, ms);
-        self.reported[at] = if isolated { 0 } else { ms + 1 };
-        let grant = self.answer(at, ms, report);
+        let standalone = self.is_standalone(at, ms);
+        self.reported[at] = if standalone { 0 } else { ms + 1 };
+        let grant = self.grant(at, ms, report);
         if !self.is_lost() {
-            self.answered_at[at] = Some(ms);
+            self.granted_at[at] = Some(ms);
             self.shares[at].apply_grant(grant);
         }
     }
 
-    fn answer(&mut self, at: usize, ms: u64, mut report: QuotaReport) -> QuotaGrant {
+    fn grant(&mut self, at: usize, ms: u64, mut report: QuotaReport) -> QuotaGrant {
         let is_connected = |h: &&u64| **h > 0 && ms - (**h - 1) <= QUOTA_LEADER_TIMEOUT.0;
         let connected = self.reported.iter().filter(is_connected).count();
         if self.faults.forgets_leases {
@@ -194,8 +199,9 @@
     fn excess(&self, from_ms: u64) -> f64 {
         let limit = self.limit;
         let window = TOLERANCE.window.0;
-        let bound =
-            limit.rate * window as f64 / 1_000.0 + limit.burst + TOLERANCE.extra_requests(limit);
+        let bound = limit.rate * window as f64 / 1_000.0
+            + limit.burst
+            + TOLERANCE.tolerated_requests(limit);
         let admitted: Vec<u64> = self
             .admitted
             .iter()
@@ -209,7 +215,7 @@
         fullest.max().unwrap_or(0) as f64 - bound
     }
 
-    fn refused_share(&self) -> f64 {
+    fn refused_fraction(&self) -> f64 {
         self.refused.len() as f64 / (self.admitted.len() + self.refused.len()) as f64
     }
 }
@@ -242,7 +248,7 @@
             let is_active = ms >= STARTED_MS && ms / 5_000 % 2 == at as u64;
             if is_active { 31.0 } else { 0.0 }
         });
-        assert!(sim.refused_share() < 0.01, "{}", sim.refused_share());
+        assert!(sim.refused_fraction() < 0.01, "{}", sim.refused_fraction());
     }
 }
 
@@ -285,6 +291,8 @@
     }
 }
 
+/// Guards against admitting more than the limit during a flood when the leader is lost, schedulers are partitioned from
+/// it, or datagrams are lost.
 #[rstest]
 #[case::leader_lost(Faults { leader_lost_ms: Some(8_000), ..Faults::default() })]
 #[case::cut(Faults { cut: Some((3, 6, 12)), ..Faults::default() })]
@@ -344,12 +352,13 @@
     }
     assert!(admitted >= 23, "each serves one request at least");
     assert!(
-        (admitted as f64) <= TOLERANCE.extra_requests(limit),
+        (admitted as f64) <= TOLERANCE.tolerated_requests(limit),
         "{admitted}"
     );
 }
 
-/// Guards against tokens that are subtracted from a new leader's window with each report that gets no reply.
+/// Guards against subtracting a host's unspent tokens from a new leader's window again with each report that gets no
+/// reply.
 #[test]
 fn unanswered_reports_free_no_tokens() {
     let limit = QuotaLimit {
@@ -390,12 +399,12 @@
             .report(Millis(ms), &HostName::new("other"), answered, &params)
             .granted;
     }
-    // Requests that the leader assumes to have been admitted leave the window at the rate, except for the burst at its
-    // end.
+    // Requests that the leader assumes to have been admitted leave the window at the limit's rate, except for the burst
+    // at the end of the window.
     assert!(granted as f64 <= limit.rate * 4.9 + 1.0, "{granted} tokens");
 }
 
-/// Checks the simulations above: they detect a leader that forgets its grants and admits too much.
+/// Checks the simulation: it detects a leader that forgets its grants and admits too much.
 #[test]
 fn the_simulation_detects_a_leader_that_forgets_its_leases() {
     let faults = Faults {
@@ -409,6 +418,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
+    /// Guards against admitting more than the limit, at any demand, distribution over the schedulers and combination of
+    /// faults.
     #[test]
     fn no_window_exceeds_the_limit(
         rate in 5.0..400.0_f64,
