--- a/crates/chicoryrail-policy/src/scheduler/load_view.rs
+++ b/crates/chicoryrail-policy/src/scheduler/load_view.rs
@@ -1,4 +1,4 @@
-//! Load of all servers of a scheduler at one moment.
+//! Compares the servers of a scheduler for each request by their expected response times.
 
 use std::cell::RefCell;
 
@@ -10,11 +10,12 @@
 use crate::scheduler::server_slots::ServerSlots;
 
 /// Cost of a server in another data centre, as a fraction of the work, because traffic between data centres is paid
-/// for. It is small against the differences between servers, so it decides only between similar ones.
+/// for. The cost is small against the differences between servers, so it decides only between similar servers.
 const REMOTE_COST: f64 = 0.1;
 
-/// The same cost for a request with a large response. Traffic between data centres is expensive, so such a request
-/// waits for a server in its own data centre as long as the work itself takes, which is well within its latency target.
+/// Cost of a server in another data centre for a request with a large response, as a fraction of the work. Traffic
+/// between data centres is expensive, so such a request waits for a server in its own data centre as long as the work
+/// itself takes, which is well within its latency target.
 const REMOTE_DOWNLOAD_COST: f64 = 1.0;
 
 /// Load of all servers of a scheduler at one moment, computed once for a whole queue.
@@ -27,10 +28,12 @@
     servers: Vec<ServerLoad>,
     /// Number of servers with a free slot.
     free_servers: usize,
-    /// Capacity of all servers, and of those without a free slot, in usual slots.
+    /// Capacity of all servers, in usual slots.
     capacity: f64,
+    /// Capacity of the servers without a free slot, in usual slots.
     full_capacity: f64,
-    /// Cache of the earliest response of any server by the work of a request. Sending a request invalidates it.
+    /// Cache of the time until the earliest response of any server, by the bits of the request's work. Sending a
+    /// request clears it.
     response_cache: RefCell<Vec<(u64, f64)>>,
 }
 
@@ -38,17 +41,18 @@
 struct ServerLoad {
     id: ServerId,
     slowness: f64,
-    /// Time until a slot is free, in microseconds.
+    /// Time until a request may be sent, in microseconds.
     free_in_us: f64,
+    /// Whether a request may be sent now.
     has_slot: bool,
     warming_up: bool,
     /// Expected number of tries until a successful response, squared: a failure costs the caller more than the time.
     retry_factor: f64,
-    /// Cost of its filled slots, as a fraction of the work.
+    /// Cost of the filled slots, as a fraction of the work.
     fill_cost: f64,
-    /// Capacity in usual slots: the work that it does in the time in which a usual slot does one unit.
+    /// Capacity in usual slots: the work that the server does in the time in which a usual slot does one unit.
     capacity: f64,
-    dc: u32,
+    dc_index: u32,
 }
 
 impl LoadView {
@@ -57,37 +61,40 @@
         now: Millis,
         servers: impl Iterator<Item = (ServerId, &'a ServerSlots)>,
     ) -> Self {
-        let open = servers.filter(|(_, s)| s.state.accepting);
+        let accepting = servers.filter(|(_, s)| s.state.accepting);
         let mut view = Self {
             now,
-            servers: open.map(|(id, s)| ServerLoad::new(now, id, s)).collect(),
+            servers: accepting
+                .map(|(id, s)| ServerLoad::new(now, id, s))
+                .collect(),
             free_servers: 0,
             capacity: 0.0,
             full_capacity: 0.0,
             response_cache: RefCell::default(),
         };
-        view.capacity = view.servers.iter().map(|g| g.capacity).sum();
+        view.capacity = view.servers.iter().map(|s| s.capacity).sum();
         view.recount();
         view
     }
 
+    /// Updates the totals after a change of a server's load.
     fn recount(&mut self) {
-        let full = self.servers.iter().filter(|g| !g.has_slot);
-        self.full_capacity = full.map(|g| g.capacity).sum();
-        self.free_servers = self.servers.iter().filter(|g| g.has_slot).count();
+        let full = self.servers.iter().filter(|s| !s.has_slot);
+        self.full_capacity = full.map(|s| s.capacity).sum();
+        self.free_servers = self.servers.iter().filter(|s| s.has_slot).count();
         self.response_cache.borrow_mut().clear();
     }
 
     /// Updates the load of a server after a request was sent to it.
     pub(crate) fn refresh(&mut self, id: ServerId, slots: &ServerSlots) {
-        if let Ok(at) = self.servers.binary_search_by_key(&id, |g| g.id) {
+        if let Ok(at) = self.servers.binary_search_by_key(&id, |s| s.id) {
             self.servers[at] = ServerLoad::new(self.now, id, slots);
             self.recount();
         }
     }
 
     fn server(&self, id: ServerId) -> Option<&ServerLoad> {
-        let at = self.servers.binary_search_by_key(&id, |g| g.id).ok()?;
+        let at = self.servers.binary_search_by_key(&id, |s| s.id).ok()?;
         Some(&self.servers[at])
     }
 
@@ -112,14 +119,14 @@
         }
         // The requests ahead wait for the full servers, too.
         let excluded = request.excluded.iter().filter_map(|id| self.server(*id));
-        let excluded: f64 = excluded.filter(|g| !g.has_slot).map(|g| g.capacity).sum();
+        let excluded: f64 = excluded.filter(|s| !s.has_slot).map(|s| s.capacity).sum();
         let queue_wait = ahead_us / (self.full_capacity - excluded).max(CAPACITY_MIN);
         let mut best: Option<(f64, ServerId)> = None;
         let mut min_wait = f64::INFINITY;
         for load in self
             .servers
             .iter()
-            .filter(|g| !request.excluded.contains(&g.id))
+            .filter(|s| !request.excluded.contains(&s.id))
         {
             let cost = load.cost(request);
             if load.has_slot {
@@ -134,8 +141,8 @@
         (cost <= min_wait + queue_wait).then_some(id)
     }
 
-    /// Estimates the time until a request is answered, in microseconds, behind `ahead_us` microseconds of work. Returns
-    /// `None` if no server can take it.
+    /// Estimates the time until the response to a request, in microseconds, behind `ahead_us` microseconds of work.
+    /// Returns `None` if no server can process the request.
     pub(crate) fn response_in_us(
         &self,
         request: &SlotRequest,
@@ -154,29 +161,30 @@
             _ => &[],
         };
         if !excluded.is_empty() {
-            let eligible = self.servers.iter().filter(|g| !excluded.contains(&g.id));
-            let earliest = eligible.clone().map(|g| g.response_in_us(request.work_us));
+            let eligible = self.servers.iter().filter(|s| !excluded.contains(&s.id));
+            let earliest = eligible.clone().map(|s| s.response_in_us(request.work_us));
             let earliest = earliest.reduce(f64::min)?;
-            let capacity: f64 = eligible.map(|g| g.capacity).sum();
+            let capacity: f64 = eligible.map(|s| s.capacity).sum();
             return Some(earliest + ahead_us / capacity.max(CAPACITY_MIN));
         }
         Some(self.earliest_response(request.work_us)? + ahead_us / self.capacity.max(CAPACITY_MIN))
     }
 
+    /// Estimates the time until the earliest response of any server, in microseconds; `None` without servers.
     fn earliest_response(&self, work_us: f64) -> Option<f64> {
         let mut cached = self.response_cache.borrow_mut();
         let bits = work_us.to_bits();
         if let Some((_, earliest)) = cached.iter().find(|(work, _)| *work == bits) {
             return Some(*earliest);
         }
-        let earliest = self.servers.iter().map(|g| g.response_in_us(work_us));
+        let earliest = self.servers.iter().map(|s| s.response_in_us(work_us));
         let earliest = earliest.reduce(f64::min)?;
         cached.push((bits, earliest));
         Some(earliest)
     }
 }
 
-/// Capacity assumed if there are no servers, so that the estimated wait for them is long.
+/// Minimum capacity in estimates of a wait. Without servers it makes the estimated wait long.
 const CAPACITY_MIN: f64 = 0.01;
 
 impl ServerLoad {
@@ -194,13 +202,13 @@
             retry_factor: 1.0 / (success_rate * success_rate),
             fill_cost,
             capacity: slots.capacity(now),
-            dc: slots.state.dc_index,
+            dc_index: slots.state.dc_index,
         }
     }
 
-    /// Estimates the time to a successful response at a free server, in microseconds.
+    /// Estimates the time to a successful response from a free slot on, in microseconds, with the costs of the server.
     fn cost(&self, request: &SlotRequest) -> f64 {
-        let remote_cost = match (self.dc == request.dc_index, request.large_response) {
+        let remote_cost = match (self.dc_index == request.dc_index, request.large_response) {
             (true, _) => 0.0,
             (false, false) => REMOTE_COST,
             (false, true) => REMOTE_DOWNLOAD_COST,
@@ -208,6 +216,7 @@
         request.work_us * self.slowness * (1.0 + self.fill_cost + remote_cost) * self.retry_factor
     }
 
+    /// Estimates the time until the response to a request that goes to this server next, in microseconds.
     fn response_in_us(&self, work_us: f64) -> f64 {
         self.free_in_us + work_us * self.slowness
     }
--- a/crates/chicoryrail-policy/src/scheduler/rate_bucket.rs
+++ b/crates/chicoryrail-policy/src/scheduler/rate_bucket.rs
@@ -1,4 +1,4 @@
-//! Token bucket that limits the requests to a server to its advertised rate.
+//! Limits the requests to a server to its advertised rate.
 
 use chicoryrail_core::Millis;
 
@@ -36,12 +36,13 @@
         missing / rate.max(REQUESTS_PER_S_MIN) * 1_000_000.0
     }
 
-    /// Takes the token of a request that is sent.
+    /// Takes a token for a request that is sent.
     pub(crate) fn take(&mut self, now: Millis, rate: f64) {
         self.tokens = self.tokens(now, rate) - 1.0;
         self.updated_at = now;
     }
 
+    /// Returns the number of tokens at `now`.
     fn tokens(&self, now: Millis, rate: f64) -> f64 {
         let rate = rate.max(REQUESTS_PER_S_MIN) / 1_000.0;
         let capacity = (rate * BURST_TIME_MS).max(1.0);
--- a/crates/chicoryrail-policy/src/scheduler/scheduler.rs
+++ b/crates/chicoryrail-policy/src/scheduler/scheduler.rs
@@ -1,4 +1,4 @@
-//! Scheduler of one service.
+//! Queues requests for the servers of one service, and decides where they go or whether they are refused.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,8 @@
 use crate::scheduler::load_view::LoadView;
 use crate::scheduler::server_slots::ServerSlots;
 
-/// Fraction of a caller's time that a request may wait at most. If it is refused after all, the caller must have time
-/// left to return and be served elsewhere.
+/// Maximum fraction of a caller's time for which a request may wait. If the request is refused after all, the caller
+/// must have time left to retry and be served elsewhere.
 const WAIT_TIME_FRACTION: f64 = 0.6;
 
 /// Time for which requests must have waited without a break before a queue counts as standing: a burst is over by then,
@@ -32,14 +32,15 @@
 pub struct Scheduler {
     servers: BTreeMap<ServerId, ServerSlots>,
     waiting: Vec<WaitingRequest>,
-    /// Owners with waiting requests for their keys, and the time since when at least one request has always waited.
+    /// Owners with waiting requests for their keys, and the time since which at least one request has been waiting.
     key_queues: Vec<(Placement, Millis)>,
 }
 
 #[derive(Clone, Debug)]
 struct WaitingRequest {
     request: SlotRequest,
-    since: Millis,
+    enqueued_at: Millis,
+    /// Servers that the request may be sent to, at the last poll.
     placement: Placement,
 }
 
@@ -80,7 +81,7 @@
         {
             self.waiting.push(WaitingRequest {
                 request,
-                since: now,
+                enqueued_at: now,
                 placement: Placement::Any,
             });
         }
@@ -92,7 +93,7 @@
         self.waiting.retain(|w| w.request.ticket != ticket);
     }
 
-    /// Iterates over the tickets and keys of the requests that wait for the owner of a key.
+    /// Iterates over the tickets and keys of the waiting requests that have a key.
     pub fn queued_keys(&self) -> impl Iterator<Item = (u64, u16)> {
         let waiting = self.waiting.iter();
         waiting.filter_map(|w| Some((w.request.ticket, w.request.key?)))
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Returns the decisions that are due. `placement` returns where the requests of a key may go.
+    /// Returns the decisions that are due, each with the ticket of its request. `placement` returns where the requests
+    /// of a key may go.
     pub fn poll(
         &mut self,
         now: Millis,
@@ -125,7 +127,7 @@
         }
         self.sort_queue(now, &view);
         let mut decisions = Vec::new();
-        // Work of the requests ahead, by placement.
+        // Work of the requests ahead, in microseconds, by placement.
         let mut work_ahead: Vec<(Placement, f64)> = Vec::new();
         let queue = std::mem::take(&mut self.waiting);
         for waiting in queue {
@@ -134,11 +136,11 @@
                 None => self.waiting.push(waiting),
             }
         }
-        self.track_queues(now);
+        self.track_key_queues(now);
         decisions
     }
 
-    /// Decides on one request, behind the work of the requests ahead.
+    /// Decides on one request behind the work of the requests ahead; `None` if it keeps waiting.
     fn decide(
         &mut self,
         now: Millis,
@@ -168,8 +170,8 @@
         None
     }
 
-    /// Updates the servers with waiting requests for their keys.
-    fn track_queues(&mut self, now: Millis) {
+    /// Updates `key_queues` for the requests that wait now.
+    fn track_key_queues(&mut self, now: Millis) {
         let waits = |placement: Placement| self.waiting.iter().any(|w| w.placement == placement);
         self.key_queues.retain(|(placement, _)| waits(*placement));
         for waiting in &self.waiting {
@@ -185,8 +187,8 @@
         }
     }
 
-    /// Returns `true` if the one server that may serve a key's requests has been overloaded for longer than a burst
-    /// lasts.
+    /// Returns `true` if requests have waited for this owner of keys without a break for [`STANDING_QUEUE_TIME`], so
+    /// that the owner is overloaded. The queue for any server never counts as standing.
     fn has_standing_queue(&self, now: Millis, placement: Placement) -> bool {
         let mut key_queues = self.key_queues.iter().filter(|(p, _)| *p == placement);
         key_queues.any(|(_, since)| now.since(*since) >= STANDING_QUEUE_TIME)
@@ -198,7 +200,8 @@
         self.waiting.len()
     }
 
-    /// Returns the number of requests at the servers that this host schedules, and the slots of those that accept work.
+    /// Returns the number of requests in flight at the servers that this host schedules, and the number of slots of
+    /// those servers that accept work.
     #[must_use]
     pub fn occupancy(&self) -> (usize, u32) {
         let servers = self.servers.values().filter(|s| s.state.scheduled_here);
@@ -210,14 +213,15 @@
         (busy, slots)
     }
 
-    /// Returns the number of slots that are free now.
+    /// Returns the number of slots that are free now; a server that warms up or has a rate limit has at most one.
     #[must_use]
     pub fn free_slots(&self, now: Millis) -> usize {
         let servers = self.servers.values();
         servers.map(|s| s.free_slots(now)).sum()
     }
 
-    /// Returns the observed mean time of a server relative to a usual one: above 1 is slower than usual.
+    /// Returns the observed mean time for work at a server relative to a usual one: above 1 is slower than usual. An
+    /// unknown server counts as usual.
     #[must_use]
     pub fn slowness(&self, server: ServerId) -> f64 {
         self.servers
@@ -225,14 +229,14 @@
             .map_or(1.0, ServerSlots::mean_slowness)
     }
 
-    /// Returns the number of usual slots that do as much work as a server's rate limit admits; `None` if it has no
-    /// limit.
+    /// Returns the number of usual slots that do as much work as a server's rate limit admits; `None` if the server has
+    /// no limit.
     #[must_use]
     pub fn limited_slots(&self, server: ServerId) -> Option<f64> {
         self.servers.get(&server)?.limited_slots()
     }
 
-    /// Sorts the queue; see [`Scheduler`].
+    /// Sorts the queue in the order that [`Scheduler`] describes.
     fn sort_queue(&mut self, now: Millis, view: &LoadView) {
         let key = |w: &WaitingRequest| {
             let earliest = view.response_in_us(&w.request, w.placement, 0.0);
@@ -271,8 +275,8 @@
                 (response_us - latency_left).max(request.work_us * 0.5),
             ));
         }
-        let total = request.deadline.since(waiting.since).0 as f64;
-        let waited = now.since(waiting.since).0 as f64;
+        let total = request.deadline.since(waiting.enqueued_at).0 as f64;
+        let waited = now.since(waiting.enqueued_at).0 as f64;
         if response_us <= left_us && waited <= total * WAIT_TIME_FRACTION {
             return Ok(());
         }
@@ -280,6 +284,7 @@
     }
 }
 
+/// Converts microseconds to whole milliseconds.
 fn millis(us: f64) -> Millis {
     Millis((us / 1_000.0) as u64)
 }
--- a/crates/chicoryrail-policy/src/scheduler/server_slots.rs
+++ b/crates/chicoryrail-policy/src/scheduler/server_slots.rs
@@ -1,4 +1,4 @@
-//! State of one server at the scheduler.
+//! Tracks the requests in flight at one server, and whether it may get another one.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -18,9 +18,9 @@
 /// they arrive.
 const WARMUP_WINDOW: Millis = Millis(1_120);
 
-/// Time after its deadline at which a request without a report counts as ended: the report, or the host that should
-/// have sent it, was lost.
-const END_MESSAGE_TIMEOUT: Millis = Millis(300);
+/// Time after its deadline at which a request counts as ended without a [`SlotRelease`](crate::SlotRelease): the
+/// release, or the host that should have sent it, was lost.
+const RELEASE_TIMEOUT: Millis = Millis(300);
 
 /// Weight of a new request in the mean work of the requests sent.
 const WORK_SMOOTHING: f64 = 0.05;
@@ -28,11 +28,11 @@
 /// State of a server that a scheduler needs to assign requests to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerStatus {
-    /// Number of requests that it processes concurrently.
+    /// Maximum number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it accepts new work.
     pub accepting: bool,
-    /// End of its warm-up.
+    /// End of its warm-up; in the past for a warm server.
     pub warmup_until: Millis,
     /// Requests per second, from all hosts together, that it can process during its warm-up.
     pub warmup_rate_max: f64,
@@ -63,7 +63,7 @@
 /// A request in flight at a server.
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
-    sent: Millis,
+    sent_at: Millis,
     deadline: Millis,
     work_us: f64,
 }
@@ -73,10 +73,12 @@
 pub(crate) struct ServerSlots {
     pub(crate) state: ServerStatus,
     view: ServerView,
+    /// Requests in flight, by their tickets.
     in_flight: HashMap<u64, InFlight>,
+    /// Times of the sends within [`WARMUP_WINDOW`].
     warmup_sends: VecDeque<Millis>,
     bucket: RateBucket,
-    /// Mean work of the requests sent, in microseconds.
+    /// Mean work of the requests sent, in microseconds; 0 before the first one.
     mean_work_us: f64,
     /// Time at which this host began to schedule the server. Sends before it are unknown.
     scheduling_since: Millis,
@@ -95,7 +97,8 @@
         }
     }
 
-    /// Updates the server's state.
+    /// Updates the server's state. The bucket is emptied when this host begins to schedule the server, or the server
+    /// gets a rate limit.
     pub(crate) fn set(&mut self, now: Millis, state: ServerStatus) {
         let starts = state.scheduled_here && !self.state.scheduled_here;
         if starts {
@@ -132,7 +135,7 @@
         self.view.failure_rate(now)
     }
 
-    /// Returns `true` if a request may be sent now.
+    /// Returns `true` if a request may be sent now: the server has a free slot and no limit forbids the request.
     pub(crate) fn has_slot(&self, now: Millis) -> bool {
         self.state.accepting
             && !self.view.is_paused(now)
@@ -141,8 +144,8 @@
             && self.is_within_limit(now)
     }
 
-    /// Returns the number of free slots; at most one for a server that warms up or has a rate limit, as it may not
-    /// accept a second request.
+    /// Returns the number of free slots; at most one for a server that warms up or has a rate limit, as the rate may
+    /// not allow a second request.
     pub(crate) fn free_slots(&self, now: Millis) -> usize {
         if !self.has_slot(now) {
             0
@@ -197,25 +200,27 @@
         self.slot_in_us(now).max(token)
     }
 
+    /// Estimates the time until a slot is free, in microseconds, without regard to limits.
     fn slot_in_us(&self, now: Millis) -> f64 {
         let slots = self.state.slots as usize;
         if self.busy() < slots {
             return 0.0;
         }
         let slowness = self.slowness(now);
-        let remaining = self.in_flight.values().map(|h| {
-            let elapsed_us = now.since(h.sent).0 as f64 * 1_000.0;
+        let remaining = self.in_flight.values().map(|r| {
+            let elapsed_us = now.since(r.sent_at).0 as f64 * 1_000.0;
             // Work that exceeds its estimate is assumed to take another quarter of the estimate.
-            (h.work_us * slowness - elapsed_us).max(h.work_us * 0.25)
+            (r.work_us * slowness - elapsed_us).max(r.work_us * 0.25)
         });
         let mut remaining: Vec<f64> = remaining.collect();
         remaining.sort_by(f64::total_cmp);
         remaining[self.busy() - slots]
     }
 
+    /// Records that a request is sent.
     pub(crate) fn record_send(&mut self, now: Millis, ticket: u64, deadline: Millis, work_us: f64) {
         let in_flight = InFlight {
-            sent: now,
+            sent_at: now,
             deadline,
             work_us,
         };
@@ -239,7 +244,7 @@
         self.warmup_sends.push_back(now);
     }
 
-    /// Records the end of a request. A request without an entry was sent without this scheduler.
+    /// Records the end of a request. A request that is not in flight was sent without this scheduler, or has expired.
     pub(crate) fn release(
         &mut self,
         now: Millis,
@@ -267,6 +272,6 @@
     /// Removes requests for which no report of their end arrived.
     pub(crate) fn expire(&mut self, now: Millis) {
         self.in_flight
-            .retain(|_, h| now < h.deadline + END_MESSAGE_TIMEOUT);
+            .retain(|_, r| now < r.deadline + RELEASE_TIMEOUT);
     }
 }
--- a/crates/chicoryrail-policy/src/scheduler/slot_request.rs
+++ b/crates/chicoryrail-policy/src/scheduler/slot_request.rs
@@ -13,11 +13,11 @@
     pub ticket: u64,
     /// Priority if there is not enough capacity for all requests; 0 goes first.
     pub priority: u8,
-    /// Latency target: the moment until which a response has its full value to the caller.
+    /// Latency target: the time until which a response has its full value to the caller.
     pub latency_target: Millis,
-    /// Moment at which the caller cancels.
+    /// Time at which the caller cancels.
     pub deadline: Millis,
-    /// Time that a usual server needs for it, in microseconds.
+    /// Time that a usual server needs for the request, in microseconds.
     pub work_us: f64,
     /// Its shard key; `None` if the service is not keyed.
     pub key: Option<u16>,
@@ -35,18 +35,18 @@
     /// Any server of the service.
     #[default]
     Any,
-    /// Only the owner of its key.
+    /// Only the owner of the request's key.
     Owner(ServerId),
-    /// None at the moment, as its key has no owner or is moving to another one.
+    /// No server at present, as the key of the request has no owner or is moving to another one.
     Unassigned,
 }
 
 /// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to this server now.
+    /// The request is sent to this server now.
     Send(ServerId),
-    /// No capacity is expected in time; there may be some after this duration.
+    /// The request is refused: no capacity is expected in time, but there may be some after this duration.
     Refuse(Millis),
 }
 
@@ -59,8 +59,8 @@
     pub server: ServerId,
     /// Time from the send to the response, in microseconds; `None` if the caller cancelled before.
     pub elapsed_us: Option<f64>,
-    /// Failure of the send; `None` for a response.
+    /// Failure of the send; `None` if the server responded, or the caller cancelled before.
     pub failure: Option<Failure>,
-    /// Load that the server reported with its response.
+    /// Load that the server reported with its response; `None` without a report.
     pub report: Option<LoadReport>,
 }
--- a/crates/chicoryrail-policy/tests/part_rooms.rs
+++ b/crates/chicoryrail-policy/tests/part_rooms.rs
@@ -11,8 +11,7 @@
 }
 
 /// Guards against overloading one data centre: twelve requests arrive at once in a full one. They are distributed over
-/// the others by their free slots, and at most half of the slots of each are used: other hosts may use them at once,
-/// too.
+/// the others by their free slots, and use at most half of the free slots of each, as other hosts may use them too.
 #[test]
 fn a_burst_is_spread_over_the_other_data_centres() {
     let mut free_slots = RemoteFreeSlots::default();
@@ -26,7 +25,8 @@
     assert_eq!((count("east"), count("north"), count("west")), (6, 2, 0));
 }
 
-/// All other data centres are full, or only the caller's own has free slots: the request waits where it is.
+/// Guards against sending to a full data centre: nothing is known of any other, or only the request's own has free
+/// slots. The request waits there.
 #[test]
 fn no_slot_is_taken_from_full_data_centres() {
     let mut free_slots = RemoteFreeSlots::default();
--- a/crates/chicoryrail-policy/tests/scheduler.rs
+++ b/crates/chicoryrail-policy/tests/scheduler.rs
@@ -62,6 +62,7 @@
     on_time: u32,
     late: u32,
     refused: u32,
+    /// Responses after the deadline.
     unanswered: u32,
     /// Milliseconds in which requests waited although a server was idle.
     idle_ms: u32,
@@ -69,13 +70,13 @@
 
 /// Simulates `per_s` requests per second for ten seconds at servers of the given slowness (a higher one takes longer).
 /// The mean work is 100 ms, the latency target 300 ms, and the deadline 800 ms.
-fn simulate(speeds: &[f64], per_s: f64, seed: u64) -> Outcomes {
+fn simulate(slowness: &[f64], per_s: f64, seed: u64) -> Outcomes {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut scheduler = scheduler(speeds.len() as u32);
+    let mut scheduler = scheduler(slowness.len() as u32);
     let mut outcomes = Outcomes::default();
     let mut ends: BinaryHeap<Reverse<(u64, u64, u32, u64)>> = BinaryHeap::new();
     let mut started = HashMap::new();
-    let mut load = vec![0_u32; speeds.len()];
+    let mut load = vec![0_u32; slowness.len()];
     let mut ticket = 0;
     for now in 0..10_000_u64 {
         while let Some(Reverse((at, t, server, us))) = ends.peek().copied() {
@@ -102,7 +103,7 @@
                 Decision::Send(server) => {
                     load[server.0 as usize] += 1;
                     assert!(load[server.0 as usize] <= SLOTS);
-                    let ms = rng.random_range(40.0..160.0) * speeds[server.0 as usize];
+                    let ms = rng.random_range(40.0..160.0) * slowness[server.0 as usize];
                     let at = now + ms as u64;
                     ends.push(Reverse((at, t, server.0, (ms * 1_000.0) as u64)));
                 }
@@ -142,13 +143,14 @@
 #[rstest]
 #[case(&[0.6, 1.4, 1.4, 1.4], 1)]
 #[case(&[0.5, 2.0, 2.0, 2.0], 2)]
-fn a_queue_uses_idle_servers(#[case] speeds: &[f64], #[case] seed: u64) {
-    let outcomes = simulate(speeds, 70.0, seed);
+fn a_queue_uses_idle_servers(#[case] slowness: &[f64], #[case] seed: u64) {
+    let outcomes = simulate(slowness, 70.0, seed);
     assert!(outcomes.idle_ms < 100, "{outcomes:?}");
 }
 
-/// Guards against wasted work at 1.5 and 3 times the capacity: the servers work at about their capacity, most answers
-/// meet the latency target, the other requests are refused, and few requests with a slot are answered too late.
+/// Guards against wasted work at 1.5 and 3 times the capacity: the servers work at about their capacity, most responses
+/// meet the latency target, the other requests are refused, and few requests with a slot get their response after the
+/// deadline.
 #[rstest]
 #[case(120.0, 1)]
 #[case(240.0, 2)]
--- a/crates/chicoryrail-policy/tests/scheduler_callers.rs
+++ b/crates/chicoryrail-policy/tests/scheduler_callers.rs
@@ -40,6 +40,7 @@
     scheduler: Scheduler,
     now: u64,
     next_ticket: u64,
+    /// Requests in flight: time of the end, ticket and server.
     ends: BinaryHeap<Reverse<(u64, u64, u32)>>,
     /// Key and arrival time of each request, indexed by its ticket.
     requests: Vec<(u16, u64)>,
@@ -152,9 +153,9 @@
     assert!(hot.refused_late * 4 < hot.refused, "{hot:?}");
 }
 
-/// Guards against retries that displace requests with a slot or with a prospect of one. The servers get 1.2 times their
-/// capacity, and a refused caller retries within the same millisecond in three of four cases. The number of served
-/// requests stays within a tenth of that without retries.
+/// Guards against retries that displace requests that have a slot or can still get one in time. The servers get 1.2
+/// times their capacity, and a refused caller retries within the same millisecond in three of four cases. The number of
+/// served requests stays within a tenth of that without retries.
 #[rstest]
 #[case(1)]
 #[case(2)]
