--- a/crates/chicoryrail-policy/src/local/mod.rs
+++ b/crates/chicoryrail-policy/src/local/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A host knows its own requests in flight exactly, and learns of those of other hosts from the load that a server
 //! reports with each response. [`LocalBalancer`] selects among the servers of a service; [`WarmupPacer`] and
-//! [`RetryBudget`] limit a host to its share of a bound that holds over all hosts together.
+//! [`RetryBudget`] limit a host to its share of a limit that holds over all hosts together.
 
 mod advertised_limit;
 mod load_report;
--- a/crates/chicoryrail-policy/src/local/server_view.rs
+++ b/crates/chicoryrail-policy/src/local/server_view.rs
@@ -20,8 +20,8 @@
 /// Half-life of the reported requests of other hosts. It is about the time of one request, after which the server has
 /// done most of the work that it had at the time of the report.
 const OTHERS_HALF_LIFE_MS: f64 = 150.0;
-/// Half-life of a reported slowdown. It depends on the other programs on the same machine and changes several times a
-/// second.
+/// Half-life of a reported slowdown. The slowdown depends on the other programs on the same machine and changes several
+/// times a second.
 const SLOWDOWN_HALF_LIFE_MS: f64 = 200.0;
 /// Weight of a new observation in the mean slowness of a server. It is low, as single requests differ by a factor of
 /// two.
--- a/crates/chicoryrail-policy/src/local/weights.rs
+++ b/crates/chicoryrail-policy/src/local/weights.rs
@@ -9,7 +9,8 @@
 pub struct WeightedRoundRobin {
     /// Weights of the last call.
     weights: Vec<u32>,
-    /// Weight that each choice has accumulated since its last turns; the choice with the most is next.
+    /// Accumulated weight of each choice. The choice with the most is next, and pays the sum of all weights for its
+    /// turn.
     credit: Vec<i64>,
 }
 
--- a/crates/chicoryrail-policy/src/quota/quota_share.rs
+++ b/crates/chicoryrail-policy/src/quota/quota_share.rs
@@ -19,10 +19,10 @@
 /// Time after which a host reports again even if nothing has changed, so that its tokens don't count as spent.
 const REPORT_INTERVAL_MAX: Millis = Millis(1_000);
 
-/// Number of tokens expected to be needed within [`LEASE_AHEAD_MS`] below which none is held for them.
+/// Minimum demand expected within [`LEASE_AHEAD_MS`], in tokens, for which tokens are held.
 const LEASE_TOKENS_MIN: f64 = 0.25;
 
-/// Multiple of the wanted tokens above which the tokens beyond the wanted ones are returned.
+/// Multiple of the wanted number of tokens above which a host returns its surplus, down to the wanted number.
 const SURPLUS_FACTOR: i64 = 2;
 
 /// Time over which the demand is averaged.
@@ -78,9 +78,9 @@
 /// Tokens of one organisation at a scheduler.
 ///
 /// Several schedulers receive requests of one organisation at once. This guards against a request within the limit that
-/// waits for a token, or is refused while others have unused tokens, and against admitting more than the limit in
-/// total. Tokens are leased ahead of the observed demand, a few requests are admitted before their tokens arrive, and a
-/// host without a reply from the leader spends a fixed share of the rate.
+/// waits for a token, or is refused while other schedulers have unused tokens, and against admitting more than the
+/// limit in total. Tokens are leased ahead of the observed demand, a few requests are admitted before their tokens
+/// arrive, and a host without a reply from the leader spends a fixed share of the rate.
 #[derive(Clone, Debug)]
 pub struct QuotaShare {
     term: u64,
--- a/crates/chicoryrail-policy/src/scheduler/scheduler.rs
+++ b/crates/chicoryrail-policy/src/scheduler/scheduler.rs
@@ -26,7 +26,7 @@
 /// If there are more requests than slots, briefly or permanently, this guards against two failures: requests that can
 /// still meet their latency target wait behind some that can't, and requests occupy the queue until their callers
 /// cancel. Requests that can still meet their latency target go first, by priority and then by that target; the others
-/// follow by deadline. A request that can't be answered in time is refused as soon as that is known, with the time
+/// follow by deadline. A request whose response can't arrive in time is refused as soon as that is known, with the time
 /// after which there may be capacity.
 #[derive(Clone, Debug, Default)]
 pub struct Scheduler {
--- a/crates/chicoryrail-policy/src/scheduler/server_slots.rs
+++ b/crates/chicoryrail-policy/src/scheduler/server_slots.rs
@@ -40,7 +40,8 @@
     pub rate_limit: Option<f64>,
     /// Index of its data centre.
     pub dc_index: u32,
-    /// Whether this host schedules the server. Another host may do so as well for a moment.
+    /// Whether this host schedules the server. Another host may schedule it too while hosts disagree about which hosts
+    /// are alive.
     pub scheduled_here: bool,
 }
 
--- a/crates/chicoryrail-policy/tests/quota.rs
+++ b/crates/chicoryrail-policy/tests/quota.rs
@@ -36,12 +36,12 @@
     /// Fraction of the datagrams that are lost.
     loss: f64,
     /// Schedulers that are partitioned from the leader: their number, the first second, and the end (exclusive).
-    cut: Option<(usize, u64, u64)>,
+    partition: Option<(usize, u64, u64)>,
     /// Time at which the leader is lost; another one leads a second later.
     leader_lost_ms: Option<u64>,
     /// Time at which the limit is lowered to a third.
     lowered_ms: Option<u64>,
-    /// Whether granted tokens are not counted as spent.
+    /// Whether the leader forgets all leases before each report, and so does not count granted tokens.
     forgets_leases: bool,
 }
 
@@ -152,9 +152,9 @@
         self.granted_at[at].is_none_or(|t| ms - t > QUOTA_LEADER_TIMEOUT.0)
     }
 
-    fn is_cut(&self, at: usize, ms: u64) -> bool {
-        let cut = self.faults.cut;
-        cut.is_some_and(|(n, from, to)| at < n && (from * 1_000..to * 1_000).contains(&ms))
+    fn is_partitioned(&self, at: usize, ms: u64) -> bool {
+        let partition = self.faults.partition;
+        partition.is_some_and(|(n, from, to)| at < n && (from * 1_000..to * 1_000).contains(&ms))
     }
 
     fn is_lost(&mut self) -> bool {
@@ -164,7 +164,7 @@
     fn report(&mut self, at: usize, ms: u64) {
         let params = self.params(at, ms);
         let report = self.shares[at].report(Millis(ms), &params);
-        if ms < self.leader_from || self.is_cut(at, ms) || self.is_lost() {
+        if ms < self.leader_from || self.is_partitioned(at, ms) || self.is_lost() {
             return;
         }
         let standalone = self.is_standalone(at, ms);
@@ -272,11 +272,11 @@
     assert!(refused * 100 < total, "{refused} of {total} refused");
 }
 
-/// Guards against admitting more than the limit, or much less: an organisation sends 7.5 times its usual rate at once.
+/// Guards against admitting more than the limit, or much less: an organisation suddenly sends 7.5 times its usual rate.
 #[rstest]
 #[case::small(14.0)]
 #[case::large(360.0)]
-fn a_flood_gets_the_limit(#[case] rate: f64) {
+fn an_overload_is_served_up_to_the_limit(#[case] rate: f64) {
     for seed in 0..10 {
         let base = rate / 1.6 / SCHEDULERS as f64;
         let sim = Simulation::new(rate, rate, Faults::default(), seed);
@@ -291,14 +291,14 @@
     }
 }
 
-/// Guards against admitting more than the limit during a flood when the leader is lost, schedulers are partitioned from
-/// it, or datagrams are lost.
+/// Guards against admitting more than the limit during an overload when the leader is lost, schedulers are partitioned
+/// from it, or datagrams are lost.
 #[rstest]
 #[case::leader_lost(Faults { leader_lost_ms: Some(8_000), ..Faults::default() })]
-#[case::cut(Faults { cut: Some((3, 6, 12)), ..Faults::default() })]
+#[case::partition(Faults { partition: Some((3, 6, 12)), ..Faults::default() })]
 #[case::losses(Faults { loss: 0.2, ..Faults::default() })]
-#[case::all_of_it(Faults { loss: 0.1, cut: Some((4, 7, 10)), leader_lost_ms: Some(8_000), ..Faults::default() })]
-fn a_flood_gets_no_more_under_faults(#[case] faults: Faults) {
+#[case::all_of_it(Faults { loss: 0.1, partition: Some((4, 7, 10)), leader_lost_ms: Some(8_000), ..Faults::default() })]
+fn an_overload_gets_no_more_than_the_limit_under_faults(#[case] faults: Faults) {
     for seed in 0..10 {
         let sim = Simulation::new(60.0, 60.0, faults, seed);
         let sim = sim.run(20_000, |_, ms| if ms < 5_000 { 4.0 } else { 35.0 });
@@ -306,9 +306,10 @@
     }
 }
 
-/// Guards against a lowered limit that does not apply: the organisation keeps sending as before.
+/// Guards against a lowered limit that does not apply: the organisation keeps sending as before, and windows that begin
+/// half a second later keep to the new limit.
 #[test]
-fn a_lowered_limit_holds_one_window_later() {
+fn a_lowered_limit_holds_half_a_second_later() {
     for seed in 0..10 {
         let faults = Faults {
             lowered_ms: Some(6_000),
@@ -319,7 +320,7 @@
     }
 }
 
-/// Guards against a second burst: all schedulers are killed and restart at once during a flood.
+/// Guards against a second burst: all schedulers are killed and restart at once during an overload.
 #[test]
 fn a_restart_of_all_schedulers_begins_without_tokens() {
     for seed in 0..10 {
@@ -337,7 +338,7 @@
 }
 
 /// Guards against isolated hosts that exceed the tolerance together: 23 of 68 hosts reach no scheduler, and each
-/// receives a fraction of a flood.
+/// receives a fraction of an overload.
 #[test]
 fn isolated_hosts_stay_within_the_tolerance() {
     let limit = QuotaLimit {
@@ -427,12 +428,12 @@
         times in 0.3..10.0_f64,
         skew in 0.0..1.0_f64,
         loss in 0.0..0.4_f64,
-        cut in proptest::option::of((1..SCHEDULERS, 1..5_u64, 5..9_u64)),
+        partition in proptest::option::of((1..SCHEDULERS, 1..5_u64, 5..9_u64)),
         leader_lost_ms in proptest::option::of(0..1_600_u64),
         seed in any::<u64>(),
     ) {
         let leader_lost_ms = leader_lost_ms.map(|t| t * TICK_MS);
-        let faults = Faults { loss, cut, leader_lost_ms, ..Faults::default() };
+        let faults = Faults { loss, partition, leader_lost_ms, ..Faults::default() };
         let sim = Simulation::new(rate, rate * burst_part, faults, seed);
         let sim = sim.run(12_000, |at, ms| {
             let is_hot = (ms / 1_700) as usize % SCHEDULERS == at;
--- a/crates/chicoryrail-policy/tests/scheduler.rs
+++ b/crates/chicoryrail-policy/tests/scheduler.rs
@@ -250,8 +250,8 @@
     assert_eq!(decisions, [(1, Decision::Send(ServerId(1)))]);
 }
 
-/// Guards against overload during warm-up: of a flood, the server gets the fraction of its warm-up rate that the
-/// scheduler may use, and nothing in the first second, as the sends of other hosts are unknown.
+/// Guards against overload during warm-up: of a thousand requests per second, the server gets the fraction of its
+/// warm-up rate that the scheduler may use, and nothing in the first second, as the sends of other hosts are unknown.
 #[test]
 fn a_server_gets_its_warm_up_rate() {
     let mut scheduler = Scheduler::default();
