--- a/crates/chicoryctl/src/change.rs
+++ b/crates/chicoryctl/src/change.rs
@@ -93,7 +93,7 @@
 pub(crate) async fn stored_file(store: &KvStore) -> Result<SiteFile, CtlError> {
     let (entry, _) = read_stored(store).await?;
     let entry = entry.ok_or(CtlError::NoConfig)?;
-    Ok(SiteFile::of(&entry.site))
+    Ok(SiteFile::from_site(&entry.site))
 }
 
 /// Changes the stored configuration and stores the result as the next version; returns that version.
@@ -104,10 +104,10 @@
     let build = |before: Option<ConfigEntry>| {
         let before = before.ok_or(CtlError::NoConfig)?;
         // Some values can't be used as they are stored. Writing the configuration back would lose them.
-        if let Some(source) = before.unknown.into_iter().next() {
+        if let Some(source) = before.invalid.into_iter().next() {
             return Err(CtlError::Entry { source });
         }
-        let mut file = SiteFile::of(&before.site);
+        let mut file = SiteFile::from_site(&before.site);
         change(&mut file)?;
         file.build(before.site.version + 1).context(UnusableSnafu)
     };
@@ -119,7 +119,7 @@
     let (entry, _) = read_stored(store).await?;
     match entry {
         Some(ConfigEntry { site, .. }) => {
-            let text = toml::to_string(&SiteFile::of(&site)).context(ShowSnafu)?;
+            let text = toml::to_string(&SiteFile::from_site(&site)).context(ShowSnafu)?;
             Ok(format!("# version {}\n{text}", site.version))
         }
         None => Ok("# no configuration is stored\n".to_owned()),
@@ -134,7 +134,7 @@
     if !force {
         check_remaining(&status, dc)?;
     }
-    let key = store_key(&Subject::TakenOut(dc.clone()));
+    let key = store_key(&Subject::DrainedDc(dc.clone()));
     if status.dcs_out.contains(dc) {
         return Ok(format!("{dc} is already out of service\n"));
     }
@@ -147,7 +147,7 @@
 
 /// Brings a data centre back into service.
 pub(crate) async fn back(store: &KvStore, dc: &DcName) -> Result<String, CtlError> {
-    let key = store_key(&Subject::TakenOut(dc.clone()));
+    let key = store_key(&Subject::DrainedDc(dc.clone()));
     if store.item(&key).await.context(StoreSnafu)?.is_none() {
         return Ok(format!("{dc} is not out of service\n"));
     }
--- a/crates/chicoryrail-policy/src/quota/sliding_window.rs
+++ b/crates/chicoryrail-policy/src/quota/sliding_window.rs
@@ -30,7 +30,7 @@
         let count = (length.0 / INTERVAL_LENGTH.0).max(1);
         let per_interval = requests / count as f64;
         let interval = |i| Interval {
-            expires_at: now + INTERVAL_LENGTH.times(i),
+            expires_at: now + INTERVAL_LENGTH.saturating_mul(i),
             requests: per_interval,
         };
         Self {
--- a/crates/chicoryrail-router/src/control/leader/key_calls.rs
+++ b/crates/chicoryrail-router/src/control/leader/key_calls.rs
@@ -34,7 +34,7 @@
             Ok(revision) => {
                 let before = self.stored_fence.replace(record.fence);
                 let invariants = &self.router.process.invariants;
-                invariants.rises(Invariant::FenceForward, &before, &record.fence);
+                invariants.check_increases(Invariant::FenceForward, &before, &record.fence);
                 self.revision.set(revision);
                 self.leases.borrow_mut().record_written(now);
                 log::info!(service:% = self.service, fence = record.fence, revision = revision,
@@ -102,14 +102,14 @@
             control.grant(addr, &life.name, &grant, limit).await
         } else {
             let reason = "not sent: leadership is no longer confirmed".to_owned();
-            Err(KeyError::Silent { reason })
+            Err(KeyError::NoResponse { reason })
         };
         let (end, name) = match &result {
             Ok(()) => (GrantOutcome::Granted, "held"),
-            Err(KeyError::FenceOld) => (GrantOutcome::StaleFence, "fence_old"),
-            Err(KeyError::OtherServer) => (GrantOutcome::WrongServer, "other_server"),
-            Err(KeyError::Silent { .. } | KeyError::Refused { .. }) => {
-                (GrantOutcome::NoAnswer, "silent")
+            Err(KeyError::StaleFence) => (GrantOutcome::StaleFence, "fence_old"),
+            Err(KeyError::OtherServer) => (GrantOutcome::OtherServer, "other_server"),
+            Err(KeyError::NoResponse { .. } | KeyError::Refused { .. }) => {
+                (GrantOutcome::NoResponse, "silent")
             }
         };
         self.count("grant", name, started);
@@ -148,8 +148,8 @@
         let result = control.release(addr, &life.name, &grant, limit).await;
         let (end, name) = match &result {
             Ok(token) => (ReleaseOutcome::Released(token.clone()), "free"),
-            Err(KeyError::OtherServer) => (ReleaseOutcome::WrongServer, "other_server"),
-            Err(_) => (ReleaseOutcome::NoAnswer, "silent"),
+            Err(KeyError::OtherServer) => (ReleaseOutcome::OtherServer, "other_server"),
+            Err(_) => (ReleaseOutcome::NoResponse, "silent"),
         };
         self.count("release", name, started);
         log::info!(server:% = life, service:% = self.service, fence = grant.fence,
--- a/crates/chicoryrail-router/src/route/send.rs
+++ b/crates/chicoryrail-router/src/route/send.rs
@@ -12,8 +12,8 @@
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::Invariant;
 use chicoryrail_runtime::RequestBody;
-use chicoryrail_runtime::end_to_end;
-use chicoryrail_runtime::says_close;
+use chicoryrail_runtime::is_connection_close;
+use chicoryrail_runtime::strip_hop_by_hop;
 use http::HeaderMap;
 use http::HeaderValue;
 use http::Request;
@@ -121,7 +121,7 @@
     );
     let in_flight = InFlight::new(service, target, &slot);
     let exchange = exchange(router, service, target, call, body, in_flight);
-    let sent = match timeout(limit.duration(), exchange).await {
+    let sent = match timeout(limit.to_duration(), exchange).await {
         Ok(sent) => sent,
         Err(_) => SendOutcome::Indeterminate(Indeterminate::Silent),
     };
@@ -137,10 +137,10 @@
     let mut loads = service.loads.borrow_mut();
     match sent.failure() {
         None => {
-            let work = router.expected_work_us(&call.route.name, call.route.aim);
+            let work = router.expected_work_us(&call.route.name, call.route.latency_target);
             if matches!(sent, SendOutcome::Answered(_)) {
                 loads.record_response(now, target.id, elapsed_us, work, idle);
-                router.record_work(&call.route.name, call.route.aim, elapsed_us);
+                router.record_work(&call.route.name, call.route.latency_target, elapsed_us);
             }
         }
         Some(failure) => loads.record_failure(now, target.id, failure),
@@ -159,7 +159,7 @@
     body: &Rc<RequestBody>,
     mut in_flight: InFlight,
 ) -> SendOutcome {
-    let conn = match target.pool.take(target.addr).await {
+    let conn = match target.pool.acquire(target.addr).await {
         Ok(conn) => conn,
         Err(e) => {
             log::debug!(request = call.id, server:% = target.life, error:% = e; "connect");
@@ -168,7 +168,7 @@
     };
     let conn = in_flight.attach(conn);
     let request = new_request(call, target, body, router.now());
-    let response = match conn.send.try_send_request(request).await {
+    let response = match conn.sender.try_send_request(request).await {
         Ok(response) => response,
         Err(mut error) => {
             // The error returns the request only if it was never written.
@@ -212,17 +212,17 @@
         drain(body, in_flight).await;
         return SendOutcome::NotRun(NotRun::Refused);
     }
-    let stamped = head.headers.contains_key(call_header::STAMP);
+    let stamped = head.headers.contains_key(call_header::UPSTREAM_STAMP);
     if !stamped || echoed.is_none() || head.headers.contains_key(CONTENT_ENCODING) {
         return SendOutcome::Indeterminate(Indeterminate::Spoiled);
     }
-    let reuse = !says_close(&head.headers);
+    let reuse = !is_connection_close(&head.headers);
     let start =
         match response_body::read_start(body, response_body::buffer_limit(call.route.kind)).await {
             Ok(start) => start,
             Err(_) => return SendOutcome::Indeterminate(Indeterminate::Spoiled),
         };
-    head.headers = end_to_end(head.headers);
+    head.headers = strip_hop_by_hop(head.headers);
     head.version = http::Version::HTTP_11;
     head.extensions.clear();
     let is_server_error = head.status.is_server_error();
@@ -254,7 +254,7 @@
         slot.record_load(report);
     }
     let warmup_left =
-        call_header::text(headers, &call_header::COLD_LEFT).and_then(|t| t.parse().ok());
+        call_header::text(headers, &call_header::WARMUP_LEFT).and_then(|t| t.parse().ok());
     if let Some(left) = warmup_left {
         target.extend_warmup(now, Millis(left));
     }
@@ -265,7 +265,7 @@
 fn record_rate_limit(router: &Router, in_flight: &InFlight, headers: &HeaderMap) {
     let target = &in_flight.target;
     let value = call_header::text(headers, &call_header::RATE_LIMIT);
-    if value.is_none() && !headers.contains_key(call_header::STAMP) {
+    if value.is_none() && !headers.contains_key(call_header::UPSTREAM_STAMP) {
         return;
     }
     match AdvertisedRate::parse(value) {
--- a/crates/chicoryrail-router/tests/pipelined.rs
+++ b/crates/chicoryrail-router/tests/pipelined.rs
@@ -108,7 +108,7 @@
         let line = "GET /read/1";
         let sent = [("p-1", line), ("p-2", line), ("p-3", line), ("p-4", line)];
         let caller = Caller::send(router.callers, &sent).await;
-        sleep(Millis(40).duration()).await;
+        sleep(Millis(40).to_duration()).await;
         world.configure().await;
         if let Some(signal) = signal {
             router.signal(signal);
@@ -135,7 +135,7 @@
         world.configure().await;
         let server = world.server("i-1", "desk").await;
         let router = world.router("a").await;
-        server.set_mode(Mode::LoseAnswer);
+        server.set_mode(Mode::LoseResponse);
         let line = "GET /read/1";
         let sent = [("p-1", line), ("p-2", line), ("p-3", "GET /none/1")];
         let responses = Caller::send(router.callers, &sent).await.responses(3).await;
--- a/crates/chicoryrail-testkit/src/listener.rs
+++ b/crates/chicoryrail-testkit/src/listener.rs
@@ -9,9 +9,9 @@
 use chicoryrail_runtime::Body;
 use chicoryrail_runtime::CancellationToken;
 use chicoryrail_runtime::SettingError;
-use chicoryrail_runtime::bind;
+use chicoryrail_runtime::bind_listener;
 use chicoryrail_runtime::block_on;
-use chicoryrail_runtime::exit_with;
+use chicoryrail_runtime::exit_with_error;
 use chicoryrail_runtime::init_logs;
 use chicoryrail_runtime::stop_on_signal;
 use futures_util::future::Either;
@@ -29,7 +29,7 @@
 /// The error with which a handler closes the connection without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the connection is closed without a response"))]
-pub struct Cut;
+pub struct ConnectionCut;
 
 /// A bound listener with a limit on open connections.
 ///
@@ -55,7 +55,7 @@
     /// Binds `addr`, the value of the flag `flag`.
     fn bind_flag(flag: &'static str, addr: SocketAddr) -> Result<Self, SettingError> {
         Ok(Self {
-            tcp: bind(flag, addr)?,
+            tcp: bind_listener(flag, addr)?,
             max_connections: u32::MAX,
             open_connections: Rc::default(),
             refused_connections: Rc::default(),
@@ -89,7 +89,7 @@
     pub async fn serve<H, F>(self, stop: CancellationToken, handler: H)
     where
         H: Fn(Request<Incoming>) -> F + 'static,
-        F: Future<Output = Result<Response<Body>, Cut>> + 'static,
+        F: Future<Output = Result<Response<Body>, ConnectionCut>> + 'static,
     {
         let handler = Rc::new(handler);
         loop {
@@ -119,7 +119,7 @@
 async fn serve_connection<H, F>(stream: TcpStream, peer: SocketAddr, handler: Rc<H>)
 where
     H: Fn(Request<Incoming>) -> F + 'static,
-    F: Future<Output = Result<Response<Body>, Cut>> + 'static,
+    F: Future<Output = Result<Response<Body>, ConnectionCut>> + 'static,
 {
     let _ = stream.set_nodelay(true);
     let Ok(io) = stream.try_into_poll_io() else {
@@ -138,7 +138,7 @@
 /// Runs a stand-in as a process: binds `addr`, prints `listening ADDR` and serves until SIGTERM or SIGINT.
 ///
 /// `flag` is the command-line flag that set `addr`; an error names it.
-pub fn stand_in<S, F>(flag: &'static str, addr: SocketAddr, serve: S) -> ExitCode
+pub fn run_stand_in<S, F>(flag: &'static str, addr: SocketAddr, serve: S) -> ExitCode
 where
     S: FnOnce(Listener, CancellationToken) -> F,
     F: Future<Output = ()>,
@@ -154,6 +154,6 @@
     });
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => exit_with(&text),
+        Err(text) => exit_with_error(&text),
     }
 }
--- a/crates/chicoryrail-testkit/src/load/balancer.rs
+++ b/crates/chicoryrail-testkit/src/load/balancer.rs
@@ -37,7 +37,7 @@
     /// Starts the health checks; they end with the runtime.
     pub(crate) fn start(hosts: &[LoadHost]) -> Self {
         let checked = hosts.iter().map(|h| CheckedHost {
-            callers: h.callers,
+            callers: h.addr,
             healthy: Cell::new(true),
         });
         let this = Self {
@@ -71,7 +71,7 @@
             let response = client.call(addr, request, CHECK_TIMEOUT).await;
             let healthy = response.is_ok_and(|r| r.status() == 200);
             self.hosts[i].healthy.set(healthy);
-            monoio::time::sleep(CHECK_INTERVAL.duration()).await;
+            monoio::time::sleep(CHECK_INTERVAL.to_duration()).await;
         }
     }
 }
