--- a/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
+++ b/crates/chicoryrail-router/src/control/config_feed/verify_config.rs
@@ -38,7 +38,7 @@
 /// Returns `true` if this host must verify the configuration, for itself and the hosts that follow it. Without
 /// organisations there are no API keys to revoke, so nothing needs to be verified.
 fn needs_verification(router: &Router) -> bool {
-    let bound = router.boot().bounds.revoke_delay;
+    let bound = router.boot().bounds.revoke;
     let site = router.site();
     let organisations = site.is_some_and(|s| s.organisations().is_some());
     bound.is_some() && organisations && router.source.watches()
--- a/crates/chicoryrail-router/src/control/leader/elect.rs
+++ b/crates/chicoryrail-router/src/control/leader/elect.rs
@@ -94,7 +94,7 @@
 
 /// Tries to become the leader; returns the term, the id of the lease and its TTL, or `None` if another host leads.
 async fn campaign(router: &Router) -> Result<Option<(u64, u64, Millis)>, StoreError> {
-    let ttl = ELECTION_LEASE.max(router.boot().store.min_lease);
+    let ttl = ELECTION_LEASE.max(router.boot().store.least_lease);
     let lease = store_call(router, "open_lease", router.store.open_lease(ttl)).await?;
     let name = router.boot().host.clone();
     let txn = Txn::default().expect(&leader_store_key(), 0).put_leased(
--- a/crates/chicoryrail-router/src/control/membership/source.rs
+++ b/crates/chicoryrail-router/src/control/membership/source.rs
@@ -90,7 +90,7 @@
 /// other returns when two checks in a row show the need.
 pub(crate) async fn join_core(router: &Rc<Router>) {
     let strong = is_strong(router.power());
-    if router.boot().bootstrap {
+    if router.boot().first_start {
         let spread = Millis(rand::rng().random_range(0..FIRST_START_JITTER.0));
         let wait = if strong {
             spread
--- a/crates/chicoryrail-router/src/run.rs
+++ b/crates/chicoryrail-router/src/run.rs
@@ -115,12 +115,12 @@
 /// Returns a [`RunError`] if a listener or socket can't be opened, or the boot file lacks an address.
 pub async fn run(boot: Boot, options: Options, sink: LogSink) -> Result<(), RunError> {
     let callers = boot
-        .caller_addr
+        .callers
         .ok_or(RunError::NoAddress { what: "callers" })?;
     let readiness = boot
-        .readiness_addr
+        .readiness
         .ok_or(RunError::NoAddress { what: "readiness" })?;
-    let peer_addr = SocketAddr::new(boot.ip, *boot.peer_ports.start());
+    let peer_addr = SocketAddr::new(boot.ip, *boot.ports.start());
     let metrics = options
         .metrics_port
         .map(|port| SocketAddr::new(boot.ip, port));
@@ -198,7 +198,7 @@
 /// progress.
 async fn shut_down(router: &Router, callers: &CancellationToken) {
     let clock = router.process.clock;
-    let grace = router.boot().bounds.grace_period;
+    let grace = router.boot().bounds.grace;
     let end = router.now() + grace - EXIT_MARGIN;
     log::info!(serving = router.serving.get(), grace_ms = grace.0; "stopping");
     clock
--- a/crates/chicoryrail-router/src/state/apply.rs
+++ b/crates/chicoryrail-router/src/state/apply.rs
@@ -170,7 +170,7 @@
             Admission::Open
         } else {
             let since = entry.missing.unwrap_or(entry.since);
-            Admission::Draining(drain_end(since, self.boot().bounds.drain_timeout))
+            Admission::Draining(drain_end(since, self.boot().bounds.drain))
         };
         if admission == Admission::Closed || !entry.is_ready() {
             target.pool.close_idle();
--- a/crates/chicoryrail-router/src/state/router.rs
+++ b/crates/chicoryrail-router/src/state/router.rs
@@ -122,7 +122,7 @@
         };
         Rc::new(Self {
             counters: Counters::new(&process.metrics),
-            store: KvStore::new(boot.store.addr).with_max_value(boot.store.max_value_bytes),
+            store: KvStore::new(boot.store.addr).with_max_value(boot.store.value),
             control: KeyControl::default(),
             store_view: RefCell::default(),
             peers: RefCell::default(),
@@ -199,7 +199,7 @@
     /// link reduces it.
     pub(crate) fn power(&self) -> u32 {
         let limits = self.boot().limits;
-        let core = (limits.cpu_share * 1_000.0) as u32;
+        let core = (limits.cpu * 1_000.0) as u32;
         if limits.link_mbps < SLOW_LINK_MBPS {
             return (core / SLOW_LINK_POWER_DIVISOR).max(1);
         }
@@ -214,7 +214,7 @@
     /// Returns the address at which this host exchanges messages with other hosts.
     pub(crate) fn peer_addr(&self) -> SocketAddr {
         let boot = self.boot();
-        SocketAddr::new(boot.ip, *boot.peer_ports.start())
+        SocketAddr::new(boot.ip, *boot.ports.start())
     }
 
     /// Returns the state that this host reports in its heartbeats.
@@ -307,7 +307,7 @@
     pub(crate) fn quota_tolerance(&self) -> QuotaTolerance {
         let bounds = self.boot().bounds;
         QuotaTolerance {
-            ratio: bounds.quota_excess,
+            ratio: bounds.quota_over,
             slack: bounds.quota_slack,
             window: bounds.quota_window,
         }
@@ -330,7 +330,7 @@
     /// Returns `true` if requests with API keys may be served: the configuration was verified to be current within the
     /// bound on the delay of revocations.
     pub(crate) fn is_config_fresh(&self, now: Millis) -> bool {
-        let bound = self.boot().bounds.revoke_delay;
+        let bound = self.boot().bounds.revoke;
         let freshness = self.organisations.freshness();
         bound.is_none_or(|bound| freshness.is_fresh(now, bound))
     }
@@ -362,7 +362,7 @@
         let bounds = self.boot().bounds;
         let site = self.site();
         let rate = site.and_then(|s| s.service(service).map(|s| s.warmup_rate_max));
-        rate.unwrap_or(0.0) * bounds.warmup_factor + bounds.warmup_slack
+        rate.unwrap_or(0.0) * bounds.cold_over + bounds.cold_slack
     }
 
     /// Returns the index of the next service of a route by weighted round robin. The start depends on the process, so
@@ -398,5 +398,5 @@
 /// Returns the maximum number of callers' connections for the file descriptors of the process: a quarter is left for
 /// servers, the store and other hosts.
 fn max_connections(boot: &Boot) -> u32 {
-    boot.limits.max_fds.saturating_sub(300).max(64) / 4 * 3
+    boot.limits.fds.saturating_sub(300).max(64) / 4 * 3
 }
