--- a/crates/chicoryrail-testkit/src/chaos/context.rs
+++ b/crates/chicoryrail-testkit/src/chaos/context.rs
@@ -24,7 +24,7 @@
 pub(crate) struct RunEvents {
     /// Injected faults, in the order of their ends.
     pub(crate) faults: Vec<FaultRecord>,
-    /// Periods in which servers are out of service.
+    /// Periods in which servers must receive no new requests.
     pub(crate) outs: Vec<OutPeriod>,
     /// Planned stops of routers.
     pub(crate) stops: Vec<HostTime>,
@@ -34,8 +34,8 @@
 
 /// The cluster and the events of a chaos run.
 ///
-/// The cluster's lock is held for a signal, a start or a change of a link, never during a wait, so that two
-/// faults can run at once.
+/// The cluster's lock is held for a signal, a start, a change of a link or a call to a stand-in, never for the duration
+/// of a fault, so that two faults can be active at once.
 #[derive(Debug)]
 pub(crate) struct RunContext {
     cluster: Mutex<Cluster>,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Waits until `ready` returns `true`, at most `ms` milliseconds; returns whether it did.
+    /// Waits until `ready` returns `true`, at most `ms` milliseconds; returns `true` if it did.
     pub(crate) fn wait_until(&self, ms: u64, mut ready: impl FnMut() -> bool) -> bool {
         let deadline = Instant::now() + Duration::from_millis(ms);
         while !ready() {
--- a/crates/chicoryrail-testkit/src/chaos/fault.rs
+++ b/crates/chicoryrail-testkit/src/chaos/fault.rs
@@ -25,7 +25,7 @@
     StoreDown { polite: bool, for_ms: u64 },
     /// The store delays its responses.
     StoreSlow { delay_ms: u64, for_ms: u64 },
-    /// The store executes requests and a share of its responses is lost.
+    /// The store executes requests, and a fraction of its responses is lost.
     StoreLosesAnswers { share: f64, for_ms: u64 },
     /// A target is unreachable.
     TargetAway { target: usize, for_ms: u64 },
@@ -45,21 +45,21 @@
     },
     /// A target does not respond to grants and releases of keys.
     TargetDeaf { target: usize, for_ms: u64 },
-    /// A target announces that it leaves, ends, and is started again.
+    /// A target announces that it is draining, is killed after a while, and is started again.
     TargetLeaves { target: usize },
-    /// A target runs requests and a share of its responses is lost.
+    /// A target runs requests, and a fraction of its responses is lost.
     TargetLosesAnswers {
         target: usize,
         share: f64,
         for_ms: u64,
     },
-    /// A target responds to a share of the requests with responses of other requests.
+    /// A target sends the responses of other requests to a fraction of the requests.
     TargetCrossesAnswers {
         target: usize,
         share: f64,
         for_ms: u64,
     },
-    /// A share of a target's responses is cut within the body.
+    /// A target closes the connection within the body of a fraction of its responses.
     TargetCutsAnswers {
         target: usize,
         share: f64,
@@ -87,15 +87,15 @@
     /// The fault.
     #[serde(flatten)]
     pub(crate) fault: Fault,
-    /// Wall-clock start in microseconds.
+    /// Start in microseconds since 1970.
     pub(crate) from: u64,
-    /// Wall-clock end in microseconds.
+    /// End in microseconds since 1970.
     pub(crate) until: u64,
     /// Error of the injection or removal; empty on success.
     pub(crate) note: String,
 }
 
-/// Numbers of members that faults can choose from.
+/// Numbers of hosts, targets and data centres that faults can choose from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClusterSize {
     pub(crate) hosts: usize,
@@ -103,20 +103,20 @@
     pub(crate) data_centres: usize,
 }
 
-/// Number of kinds that [`Fault::generate`] chooses from.
+/// Number of cases that [`Fault::generate`] chooses from; `DataCentreOut` and `RollingRestart` share one.
 const KIND_COUNT: u32 = 21;
 
-/// Number of kinds to choose from where the options name none: a further kind would change the faults that
-/// each fixed seed gives.
+/// Number of these cases to choose from if the options name no kind. It does not grow with [`KIND_COUNT`], since a
+/// further case would change the faults that each fixed seed gives.
 const DEFAULT_KIND_COUNT: u32 = 20;
 
-/// Random faults generated at most until one is of a wanted kind.
+/// Maximum number of random faults generated in search of one of a named kind.
 const MAX_DRAWS: u32 = 10_000;
 
 impl Fault {
-    /// Returns a random fault of one of the named kinds, of any default kind where no kind is named.
+    /// Returns a random fault of one of the named kinds, or of any default kind if `names` is empty.
     ///
-    /// Returns `None` where none of the names is that of a kind.
+    /// Returns `None` if no fault of a named kind is found in [`MAX_DRAWS`] attempts, as with unknown names.
     pub(crate) fn random(rng: &mut Pcg64Mcg, size: ClusterSize, names: &[String]) -> Option<Self> {
         let kind_count = if names.is_empty() {
             DEFAULT_KIND_COUNT
@@ -128,7 +128,7 @@
             .find(|f| names.is_empty() || names.iter().any(|n| n == f.name()))
     }
 
-    /// Returns a random fault of one of the first `kind_count` kinds.
+    /// Returns a random fault of one of the first `kind_count` cases.
     fn generate(rng: &mut Pcg64Mcg, size: ClusterSize, kind_count: u32) -> Self {
         let host = rng.random_range(0..size.hosts);
         let target = rng.random_range(0..size.targets);
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Returns whether the fault is an operator action, during which no request may be cut.
+    /// Returns `true` if the fault is an operator action, during which no request may be cut.
     pub(crate) const fn is_planned(&self) -> bool {
         matches!(
             self,
@@ -232,7 +232,7 @@
         )
     }
 
-    /// Returns whether the fault kills, restarts or pauses a host: the host may then not know, or not apply,
+    /// Returns `true` if the fault kills, restarts or pauses a host: the host may then not know, or not apply,
     /// the limit of a target.
     pub(crate) const fn interrupts_hosts(&self) -> bool {
         matches!(
@@ -241,8 +241,8 @@
         )
     }
 
-    /// Returns whether the fault can delay an announcement in the store or void it: a target that restarts has
-    /// not announced that it leaves.
+    /// Returns `true` if the fault can delay an announcement in the store or void it: a target that restarts no
+    /// longer announces that it is draining.
     pub(crate) const fn delays_announcements(&self) -> bool {
         matches!(
             self,
--- a/crates/chicoryrail-testkit/src/chaos/inject.rs
+++ b/crates/chicoryrail-testkit/src/chaos/inject.rs
@@ -21,22 +21,22 @@
 /// Longest wait until a restarted router passes its readiness check, in milliseconds.
 const READY_TIMEOUT_MS: u64 = 15_000;
 
-/// Attempts to return a data centre to service before the fault is recorded as failed.
+/// Maximum number of attempts to return a data centre to service before the fault is recorded as failed.
 const RESTORE_ATTEMPTS: usize = 20;
 
-/// Bytes of a response body that a target sends before it cuts the response.
+/// Number of bytes of a response body that a target sends before it closes the connection.
 const CUT_AFTER_BYTES: u64 = 40;
 
-/// Time after which a server gets no new requests once its data centre is taken out of service, in
-/// microseconds: `evacuate_ms` of the boot file (3 s), and half a second for the operator's program and
-/// for requests in flight.
+/// Delay, after a data centre is taken out of service, from which on its servers must receive no new requests, in
+/// microseconds: `evacuate_ms` of the boot file (3 s), plus half a second for the operator's program and for requests
+/// in flight.
 const DRAIN_BOUND_US: u64 = 3_500_000;
 
-/// Time after which a server gets no new requests once it announces that it leaves, in microseconds:
-/// `drain_timeout_ms` of the boot file (2 s), and half a second for requests in flight.
+/// Delay, after a server announces that it is draining, from which on it must receive no new requests, in microseconds:
+/// `drain_timeout_ms` of the boot file (2 s), plus half a second for requests in flight.
 const LEAVE_BOUND_US: u64 = 2_500_000;
 
-/// Time for which a leaving server keeps serving before it is killed, in milliseconds.
+/// Time for which a draining server keeps serving before it is killed, in milliseconds.
 const LEAVE_DURATION_MS: u64 = 4_000;
 
 /// Injects a fault, waits for its duration and removes it.
@@ -51,7 +51,7 @@
         Fault::PauseRouter { host, for_ms } => pause_router(context, host, for_ms),
         Fault::PauseTarget { target, for_ms } => pause(context, Member::Target(target), for_ms),
         Fault::StoreAway { host, for_ms } => {
-            let link = find_link(context, |l| l.store(host).clone());
+            let link = find_link(context, |l| l.store_link(host).clone());
             disturb_link(context, link, &LinkFault::cut(), for_ms)
         }
         Fault::StoreFar {
@@ -59,7 +59,7 @@
             delay_ms,
             for_ms,
         } => {
-            let link = find_link(context, |l| l.store(host).clone());
+            let link = find_link(context, |l| l.store_link(host).clone());
             disturb_link(context, link, &LinkFault::delay(delay_ms, delay_ms), for_ms)
         }
         Fault::StoreDown { polite, for_ms } => {
@@ -72,11 +72,11 @@
             inject_store_fault(context, &StoreFault::LoseAnswers { for_ms, share }, for_ms)
         }
         Fault::TargetAway { target, for_ms } => {
-            let link = find_link(context, |l| l.target(target).clone());
+            let link = find_link(context, |l| l.target_link(target).clone());
             disturb_link(context, link, &LinkFault::cut(), for_ms)
         }
         Fault::TargetReset { target } => {
-            if let Some(link) = find_link(context, |l| l.target(target).clone()) {
+            if let Some(link) = find_link(context, |l| l.target_link(target).clone()) {
                 link.reset_connections();
             }
             Ok(())
@@ -277,7 +277,7 @@
     drained.and(restored).map_err(|e| e.to_string())
 }
 
-/// Drains a target: it announces that it leaves, keeps serving for a while, is killed and starts again.
+/// Drains a target: it announces that it is draining, keeps serving for a while, is killed and starts again.
 fn drain_target(context: &RunContext, target: usize) -> Result<(), String> {
     let plan = context.cluster().targets()[target].clone();
     let announced = context.cluster().put_fault(plan.addr, &TargetFault::Leave);
--- a/crates/chicoryrail-testkit/src/chaos/run.rs
+++ b/crates/chicoryrail-testkit/src/chaos/run.rs
@@ -34,7 +34,7 @@
 /// Warm-up time of a target.
 const WARMUP_TIME: Millis = Millis(1_500);
 
-/// Longest time until every host passes its readiness check.
+/// Timeout for the first successful readiness check of each host.
 const READY_TIMEOUT: Millis = Millis(30_000);
 
 /// Number of keys that the load uses in each service: few, so that each is requested often enough to
@@ -154,15 +154,17 @@
     Ok(summary)
 }
 
-/// Time after the end of a fault in which its effect may last, in microseconds.
+/// Time after the end of a fault for which its effects may last, in microseconds.
 const AFTER_FAULT_US: u64 = 1_000_000;
 
-/// Time before an announcement's bound in which a fault can delay its delivery, in microseconds: the longest
-/// bound, and the longest time for which a watch delivers no events after an outage.
+/// Time before the start of a period out of service or before an overrun in which a fault can have delayed the
+/// announcement, in microseconds. It covers the longest delay allowed for an announcement, and the longest time for
+/// which a watch delivers no events after an outage.
 const BEFORE_BOUND_US: u64 = 5_000_000;
 
-/// Removes evidence of guarantees that hold without concurrent faults only: that a planned stop cuts no
-/// request, and that announcements of servers and operators in the store take effect in time.
+/// Removes evidence of guarantees that hold only without certain concurrent faults: that a planned stop leaves no
+/// request without a response, that announcements of servers and operators in the store take effect in time, and that
+/// advertised limits are kept.
 fn discard_disturbed(evidence: &mut Evidence, faults: &[FaultRecord]) {
     let overlaps = |f: &FaultRecord, from: u64, until: u64| {
         f.from <= until && f.until + AFTER_FAULT_US >= from
--- a/crates/chicoryrail-testkit/src/chaos/summary.rs
+++ b/crates/chicoryrail-testkit/src/chaos/summary.rs
@@ -13,13 +13,13 @@
 use crate::Violation;
 use crate::chaos::FaultRecord;
 
-/// Violations listed in the summary at most; the run's directory has all of them.
+/// Maximum number of violations listed in the summary; `violations.json` in the run's directory has all of them.
 const MAX_LISTED: usize = 10;
 
-/// Time after the end of a fault that is still counted as part of it, in microseconds.
+/// Time after the end of a fault in which requests are still attributed to it, in microseconds.
 const AFTER_FAULT_US: u64 = 1_000_000;
 
-/// The result of a run. The chaos program prints it in JSON as its last line.
+/// The result of a chaos run, which `testkit-chaos` prints in JSON as its last line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// Name of the deployment.
@@ -28,9 +28,10 @@
     pub seed: u64,
     /// Number of violations of the guarantees.
     pub violations: u64,
-    /// The first violations.
+    /// The first violations, at most 10.
     pub found: Vec<Violation>,
-    /// Processes that ended without having been stopped or killed.
+    /// Error of the first process found not running at the end of the run, with its exit status and log file; empty if
+    /// all are running.
     pub crashed: Vec<String>,
     /// Requests sent.
     pub requests: u64,
@@ -40,23 +41,23 @@
     pub refused: u64,
     /// Requests with an indeterminate outcome: they may have run.
     pub unknown: u64,
-    /// 99th percentile of the times for which a key was unavailable.
+    /// 99th percentile of the lengths of the periods in which a key was unavailable, in milliseconds.
     pub unavailable_ms_p99: u64,
-    /// The longest time for which a key was unavailable.
+    /// Length of the longest period in which a key was unavailable, in milliseconds.
     pub unavailable_ms_max: u64,
-    /// Fraction of the orders that succeeded.
+    /// Fraction of the orders that succeeded; 1 if there are none.
     pub order_share: f64,
-    /// Fraction of the orders that succeeded, of those sent during faults of a kind or up to a second after.
+    /// By kind of fault: the fraction that succeeded of the orders due during such a fault or up to a second after it.
     pub orders_by_fault: BTreeMap<String, f64>,
-    /// Median latency of lookups.
+    /// Median latency of lookups in milliseconds.
     pub lookup_p50_ms: f64,
-    /// 99th percentile of the latency of lookups.
+    /// 99th percentile of the latency of lookups in milliseconds.
     pub lookup_p99_ms: f64,
     /// The injected faults, in the order of their starts.
     pub faults: Vec<String>,
-    /// Availability for lookups sent during faults of a kind or up to a second after.
+    /// By kind of fault: the availability for the lookups due during such a fault or up to a second after it.
     pub by_fault: BTreeMap<String, Availability>,
-    /// Directory of the logs and of the violations, faults and evidence in JSON, if kept.
+    /// Directory of the logs and of the violations, faults and evidence in JSON; `None` if it was deleted.
     pub kept: Option<String>,
 }
 
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Adds the violations.
+    /// Sets the number of violations and lists the first of them.
     #[must_use]
     pub(crate) fn with_violations(mut self, violations: &[Violation]) -> Self {
         self.violations = violations.len() as u64;
@@ -91,7 +92,7 @@
         self
     }
 
-    /// Returns whether there was no violation and no process crashed.
+    /// Returns `true` if there was no violation and every process was running at the end.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.violations == 0 && self.crashed.is_empty()
--- a/crates/chicoryrail-testkit/src/chaos/worker.rs
+++ b/crates/chicoryrail-testkit/src/chaos/worker.rs
@@ -11,7 +11,7 @@
 use crate::chaos::inject;
 use crate::unix_micros;
 
-/// Injects faults until the wall clock reaches `end_us`, in microseconds.
+/// Injects faults until `end_us`, in microseconds since 1970, or until the run is stopped.
 ///
 /// The choice of faults depends on the seed only: the time that a fault takes shifts the later faults but
 /// does not change them.
--- a/crates/chicoryrail-testkit/src/checker.rs
+++ b/crates/chicoryrail-testkit/src/checker.rs
@@ -1,4 +1,4 @@
-//! Checks of the guarantees against the records of callers, targets and the store.
+//! Checks the router's guarantees against the records of callers, targets and the store.
 
 mod availability;
 mod evidence;
@@ -6,8 +6,8 @@
 mod find;
 mod orders;
 mod organisations;
-mod placement;
 mod responses;
+mod server_limits;
 mod stored_owners;
 mod versions;
 mod violation;
--- a/crates/chicoryrail-testkit/src/checker/evidence.rs
+++ b/crates/chicoryrail-testkit/src/checker/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence of a run for the checks.
+//! What a chaos run recorded, as input of the checks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,24 +13,27 @@
 use crate::Overrun;
 use crate::Run;
 
-/// Records of callers, targets and the store, and the actions of the harness; nothing that the product reports
+/// Records of callers, targets and the store, and the actions of the harness, but nothing that the router reports
 /// about itself.
+///
+/// Before the checks, a chaos run removes the overruns, periods out of service and planned stops that a concurrent
+/// fault may have disturbed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// Requests and their outcomes as recorded by the callers.
     pub records: Vec<CallRecord>,
-    /// Requests that targets ran, of all targets.
+    /// Requests that any target executed.
     pub runs: Vec<Run>,
-    /// Overruns of targets that were warming up.
+    /// Times at which a target that was warming up received more requests than it can handle.
     pub overruns: Vec<Overrun>,
-    /// Overruns of targets that advertised a limit.
+    /// Times at which a target received more requests than its advertised limit allows.
     #[serde(default)]
     pub limit_overruns: Vec<LimitOverrun>,
-    /// Writes of the store, oldest first.
+    /// Writes and deletions in the store, oldest first.
     pub history: Vec<Change>,
-    /// Periods in which servers were out of service.
+    /// Periods in which servers must receive no new requests.
     pub outs: Vec<OutPeriod>,
-    /// Planned stops of routers without a concurrent fault.
+    /// Planned stops of routers.
     pub stops: Vec<HostTime>,
     /// Periods in which routers were paused.
     pub frozen: Vec<HostTime>,
@@ -48,7 +51,7 @@
 }
 
 impl Evidence {
-    /// Adds the targets' ledgers.
+    /// Adds the runs and overruns of the targets' ledgers.
     #[must_use]
     pub fn with_ledgers(mut self, ledgers: Vec<Ledger>) -> Self {
         for ledger in ledgers {
@@ -60,24 +63,25 @@
     }
 }
 
-/// A period in which servers must get no new requests, wall clock in microseconds.
+/// A period in which servers must receive no new requests. Times are in microseconds since 1970.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutPeriod {
     /// Names of the servers.
     pub servers: Vec<String>,
-    /// End of the delay allowed after the announcement.
+    /// Start: the time at which a server announced that it is draining, or its data centre was taken out of service,
+    /// plus the delay that routers are allowed.
     pub from: u64,
-    /// When the servers were returned to service, or ended.
+    /// End: just before the servers are returned to service or killed.
     pub until: u64,
 }
 
-/// Period of a planned stop or a pause of a router, wall clock in microseconds.
+/// The period of a planned stop or a pause of a router. Times are in microseconds since 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostTime {
     /// Address of the router's listener for callers.
     pub host: SocketAddr,
     /// When the stop was requested, or the pause began.
     pub from: u64,
-    /// When the router had ended, or was resumed.
+    /// When the router had exited, or was resumed.
     pub until: u64,
 }
--- a/crates/chicoryrail-testkit/src/checker/find.rs
+++ b/crates/chicoryrail-testkit/src/checker/find.rs
@@ -5,8 +5,8 @@
 use crate::checker::exclusivity;
 use crate::checker::orders;
 use crate::checker::organisations;
-use crate::checker::placement;
 use crate::checker::responses;
+use crate::checker::server_limits;
 use crate::checker::stored_owners;
 use crate::checker::versions;
 
@@ -19,7 +19,7 @@
         found.extend(orders::check(evidence));
         found.extend(responses::check(evidence));
         found.extend(versions::check(evidence));
-        found.extend(placement::check(evidence));
+        found.extend(server_limits::check(evidence));
         found.extend(organisations::check(evidence));
         found
     }
--- a/crates/chicoryrail-testkit/src/checker/orders.rs
+++ b/crates/chicoryrail-testkit/src/checker/orders.rs
@@ -1,4 +1,5 @@
-//! Checks that orders run at most once and that the outcome reported to a caller is true.
+//! Checks that an order runs at most once, that an order reported as done ran, and that a request reported as not run
+//! did not run.
 
 use std::collections::BTreeMap;
 
@@ -35,6 +36,7 @@
                 request: record.request.clone(),
                 servers: servers(runs),
             }),
+            // An indeterminate outcome is compatible with any number of runs.
             _ => {}
         }
     }
--- a/crates/chicoryrail-testkit/src/checker/responses.rs
+++ b/crates/chicoryrail-testkit/src/checker/responses.rs
@@ -6,7 +6,7 @@
 use crate::Outcome;
 use crate::Violation;
 
-/// Time after a host's end in which a caller detects that its connection was closed, in microseconds.
+/// Time after a router's exit within which a caller detects that its connection was closed, in microseconds.
 const CLOSE_DETECTION_US: u64 = 100_000;
 
 pub(crate) fn check(evidence: &Evidence) -> Vec<Violation> {
@@ -32,12 +32,12 @@
     found
 }
 
-/// Returns whether the router was paused while the request was pending; a paused router cannot respond.
+/// Returns `true` if the router was paused while the request was pending; a paused router cannot respond.
 fn was_paused(record: &CallRecord, pause: &HostTime) -> bool {
     record.host == pause.host && record.ended >= pause.from && record.intended <= pause.until
 }
 
-/// Returns whether a request's connection to the stopping host ended without a response.
+/// Returns `true` if a request's connection to the stopping host ended without a response.
 fn is_cut_by(record: &CallRecord, stop: &HostTime) -> bool {
     record.host == stop.host
         && record.outcome == Outcome::Unknown
--- a/crates/chicoryrail-testkit/src/checker/placement.rs
+++ b/crates/chicoryrail-testkit/src/checker/server_limits.rs
@@ -4,8 +4,8 @@
 use crate::Evidence;
 use crate::Violation;
 
-/// Time within which the system must react to the start of a server's warm-up, in milliseconds: the write of the
-/// server's entry, the watch of each host, and the second over which a server's requests are counted.
+/// Delay allowed after the start of a server's warm-up before overruns count, in milliseconds. It covers the write of
+/// the server's entry, its delivery to each host by the watch, and the one-second window in which requests are counted.
 const WARMUP_REACTION_MS: u64 = 2_000;
 
 pub(super) fn check(evidence: &Evidence) -> Vec<Violation> {
@@ -34,6 +34,7 @@
         arrived: o.arrived,
         bears: o.bears,
     }));
+    // No delay applies here: a target itself counts arrivals only after hosts had time to apply its limit.
     found.extend(
         evidence
             .limit_overruns
--- a/crates/chicoryrail-testkit/src/checker/stored_owners.rs
+++ b/crates/chicoryrail-testkit/src/checker/stored_owners.rs
@@ -8,7 +8,7 @@
 use crate::Evidence;
 use crate::Violation;
 
-/// Prefix of the store keys of key records, below the product's own prefix.
+/// Prefix of the store keys of key records, below the router's own prefix.
 const KEY_RECORD_PREFIX: &str = "keys/";
 
 /// The fields of a key record that the checks use.
--- a/crates/chicoryrail-testkit/src/checker/versions.rs
+++ b/crates/chicoryrail-testkit/src/checker/versions.rs
@@ -1,4 +1,5 @@
-//! Checks that the fences of key records and the version of the configuration only increase in the store.
+//! Checks that, in the store, the fence of a key record never decreases and the version of the configuration strictly
+//! increases.
 
 use std::collections::HashMap;
 
@@ -19,6 +20,7 @@
             continue;
         }
         let record = KeyRecord::parse(change.value.as_deref());
+        // 0 stands for a record that was deleted or can't be parsed.
         let fence = record.map_or(0, |r| r.fence);
         let previous = fences.insert(&change.key, fence).unwrap_or(0);
         if fence < previous || fence == 0 {
@@ -31,14 +33,15 @@
     found
 }
 
-/// Checks that a configuration is replaced by a higher version only.
+/// Checks that each configuration has a higher version than the one it replaces.
 fn check_configs(history: &[Change]) -> Vec<Violation> {
     let config_changes = history
         .iter()
         .filter(|c| Subject::of(&c.key) == Subject::Config);
+    // 0 stands for a configuration that was deleted or can't be read.
     let version = |c: &Change| {
-        let site = read_config(c.value.as_deref().unwrap_or_default().as_bytes());
-        site.map_or(0, |entry| entry.site.version)
+        let entry = read_config(c.value.as_deref().unwrap_or_default().as_bytes());
+        entry.map_or(0, |entry| entry.site.version)
     };
     let versions: Vec<_> = config_changes.map(version).collect();
     let regressions = versions.windows(2).filter(|pair| pair[1] <= pair[0]);
--- a/crates/chicoryrail-testkit/src/checker/violation.rs
+++ b/crates/chicoryrail-testkit/src/checker/violation.rs
@@ -1,39 +1,39 @@
-//! Violations of the guarantees.
+//! The kinds of violations that the checks report.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A violation of a guarantee.
+/// A violation of one of the router's guarantees, as found by [`Violation::find`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Violation {
     /// Two servers ran requests for a key at the same time.
     OwnersOverlap {
-        /// The key.
+        /// Key of the requests.
         key: u16,
-        /// The two servers.
+        /// The server whose request started first, then the other.
         servers: [String; 2],
-        /// Wall-clock time in microseconds.
+        /// Start of the later request in microseconds since 1970.
         time: u64,
     },
-    /// A key moved to another server under a fence that is not higher than the previous one.
+    /// A key moved to another server with a fencing token that is not higher than the previous one.
     FenceBack {
-        /// The key.
+        /// Key that moved.
         key: u16,
-        /// The two servers.
+        /// The previous owner and the new one.
         servers: [String; 2],
-        /// The previous fence and the new one.
+        /// Fencing token of the previous owner and that of the new one.
         fences: [u64; 2],
-        /// Wall-clock time in microseconds.
+        /// Start of the new owner's first request in microseconds since 1970.
         time: u64,
     },
-    /// A server ran a request for a key that no record stored before had assigned to it.
+    /// A server ran a request for a key before any stored key record had assigned the key to it.
     OwnerNotStored {
-        /// The key.
+        /// Key of the request.
         key: u16,
-        /// The server.
+        /// Server that ran the request.
         server: String,
-        /// Wall-clock time in microseconds.
+        /// Start of the request in microseconds since 1970.
         time: u64,
     },
     /// An order ran more than once.
@@ -43,12 +43,12 @@
         /// The servers that ran it.
         servers: Vec<String>,
     },
-    /// An order was reported done to its caller, and never ran.
+    /// An order was reported done to its caller, but never ran.
     OrderLost {
         /// Id of the request.
         request: String,
     },
-    /// A request was reported as not run to its caller, and ran.
+    /// A request was reported as not run to its caller, but ran.
     NotRunRan {
         /// Id of the request.
         request: String,
@@ -67,39 +67,40 @@
         /// Id of the request.
         request: String,
     },
-    /// A planned stop of a router cut a request.
+    /// A request ended without a response while its router was stopped as planned, or just after.
     CutByStop {
         /// Id of the request.
         request: String,
     },
-    /// The fence of a key record decreased, or the record was deleted or is unreadable.
+    /// The fencing token of a key record decreased, or the record was deleted or is unreadable.
     StoredBack {
         /// Store key of the record.
         key: String,
-        /// Version of the write.
+        /// Store revision of the write.
         version: u64,
     },
     /// A configuration was replaced by one whose version is not higher.
     ConfigBack {
-        /// Previous version.
+        /// Previous version; 0 if the configuration was deleted or unreadable.
         before: u64,
-        /// Version written; 0 if it is unreadable.
+        /// Version written; 0 if the configuration was deleted or is unreadable.
         after: u64,
     },
-    /// A server got a request while it was out of service.
+    /// A server started a request in a period in which it must receive none ([`crate::OutPeriod`]).
     WorkWhileOut {
-        /// The server.
+        /// Server that ran the request.
         server: String,
         /// Id of the request.
         request: String,
-        /// Time from the end of the delay allowed after the announcement to the start of the request, in milliseconds.
+        /// Time from the start of that period to the start of the request, in milliseconds.
         after_ms: u64,
     },
-    /// A request ran although its API key is invalid, or for another organisation than that of its API key.
+    /// A request ran although its API key is invalid, or was attributed to an organisation other than that of its API
+    /// key, or to any although it had no API key.
     UnauthorisedRan {
         /// Id of the request.
         request: String,
-        /// Organisation that was reported to the server.
+        /// Organisation that was reported to the server; `None` if none was.
         organisation: Option<String>,
     },
     /// A caller's API key reached a server.
@@ -109,27 +110,27 @@
     },
     /// More requests of an organisation ran in a window than its quota allows.
     OverQuota {
-        /// The organisation.
+        /// Name of the organisation.
         organisation: String,
-        /// Requests that ran in the window with the most.
+        /// Largest number of requests that ran in any window.
         ran: u64,
         /// Requests that the quota allows in a window.
         allowed: u64,
     },
     /// A server got more requests than its advertised limit allows.
     LimitOverrun {
-        /// The server.
+        /// Server that advertised the limit.
         server: String,
         /// Time since the server first advertised its limit, in milliseconds.
         limited_ms: u64,
-        /// Requests that arrived in the preceding window.
+        /// Requests that arrived in the sliding window of the target's limit check.
         arrived: u32,
         /// Requests that may arrive in a window.
         allowed: u32,
     },
     /// A server that was warming up got more requests than it can handle.
     ColdOverrun {
-        /// The server.
+        /// Server that was warming up.
         server: String,
         /// Time since the warm-up began, in milliseconds.
         cold_ms: u64,
--- a/crates/chicoryrail-testkit/src/cluster/control.rs
+++ b/crates/chicoryrail-testkit/src/cluster/control.rs
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Returns whether a process exists, running or paused.
+    /// Returns `true` if a process exists, running or paused.
     pub fn is_running(&mut self, member: Member) -> bool {
         self.processes
             .get_mut(&member)
--- a/crates/chicoryrail-testkit/src/cluster/harness.rs
+++ b/crates/chicoryrail-testkit/src/cluster/harness.rs
@@ -191,7 +191,7 @@
     /// Returns the address at which a host reaches the store: that of its link if links are proxied.
     fn store_addr(&self, host: usize) -> SocketAddr {
         match &self.links {
-            Some(links) => links.store(host).addr(),
+            Some(links) => links.store_link(host).addr(),
             None => self.store,
         }
     }
--- a/crates/chicoryrail-testkit/src/cluster/http.rs
+++ b/crates/chicoryrail-testkit/src/cluster/http.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Returns whether a `GET` request returns status 200.
+/// Returns `true` if a `GET` request returns status 200.
 pub(crate) fn responds_ok(addr: SocketAddr, path: &str, timeout: Millis) -> bool {
     matches!(
         call_blocking(&Method::GET, addr, path, "", timeout),
--- a/crates/chicoryrail-testkit/src/cluster/links.rs
+++ b/crates/chicoryrail-testkit/src/cluster/links.rs
@@ -12,17 +12,19 @@
 /// The proxied links of a cluster; each forwards all traffic until a fault is set on it.
 ///
 /// Each host connects to the store over its own link. All hosts share one link to a target, since a target
-/// registers a single address. Hosts exchange datagrams, which no link carries; pausing the process of a host
-/// simulates the loss of its datagrams.
+/// registers a single address.
+///
+/// Datagrams between hosts don't pass through links. To simulate their loss, a test pauses the host's process.
 #[derive(Debug)]
 pub struct Links {
     store_links: Vec<Link>,
     target_links: Vec<Link>,
+    /// Dropping it ends all links.
     _net: ProxyNet,
 }
 
 impl Links {
-    /// Starts the links and sets the address of its link as the advertised address of each target.
+    /// Starts the links and sets each target's advertised address to the address of its link.
     pub(crate) fn start(
         seed: u64,
         store: SocketAddr,
@@ -49,17 +51,17 @@
 
     /// Returns the link from the host with this index to the store.
     #[must_use]
-    pub fn store(&self, host: usize) -> &Link {
+    pub fn store_link(&self, host: usize) -> &Link {
         &self.store_links[host]
     }
 
     /// Returns the link to the target with this index.
     #[must_use]
-    pub fn target(&self, target: usize) -> &Link {
+    pub fn target_link(&self, target: usize) -> &Link {
         &self.target_links[target]
     }
 
-    /// Iterates over the links to a process; a router has none.
+    /// Iterates over the links that lead to a process; none leads to a router.
     pub fn links_to(&self, member: Member) -> impl Iterator<Item = &Link> {
         let target_link = match member {
             Member::Target(i) => self.target_links.get(i),
--- a/crates/chicoryrail-testkit/src/cluster/member.rs
+++ b/crates/chicoryrail-testkit/src/cluster/member.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Identifies a process of a cluster; the index counts processes of the same kind.
+/// A process of a cluster, identified by its kind and its index among the processes of that kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Member {
-    /// The stand-in of the store.
+    /// The stand-in for the store.
     Store,
     /// A target, by its index in the cluster's targets.
     Target(usize),
@@ -25,7 +25,7 @@
     }
 }
 
-/// Configuration of a target: its identity, addresses and files.
+/// Planned identity, addresses and files of a target, fixed before it is started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetPlan {
     /// Name of the server.
@@ -36,13 +36,13 @@
     pub dc: String,
     /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Address that it registers in the store; the proxy's address if it is behind a proxy, `addr` otherwise.
+    /// Address that it registers in the store: the address of its link if the cluster has links, `addr` otherwise.
     pub advertised_addr: SocketAddr,
     /// Path of its ledger, the file in which it records every executed request.
     pub ledger: PathBuf,
 }
 
-/// Configuration of an entry host: its identity and addresses.
+/// Planned identity and addresses of an entry host, fixed before it is started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostPlan {
     /// Name of the host.
--- a/crates/chicoryrail-testkit/src/cluster/process.rs
+++ b/crates/chicoryrail-testkit/src/cluster/process.rs
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// Returns whether the process exists, running or paused; reaps it if it has exited.
+    /// Returns `true` if the process exists, running or paused; reaps it if it has exited.
     pub(crate) fn is_running(&mut self) -> bool {
         match &mut self.child {
             Some(child) => matches!(child.try_wait(), Ok(None)),
--- a/crates/chicoryrail-testkit/src/load/call.rs
+++ b/crates/chicoryrail-testkit/src/load/call.rs
@@ -32,11 +32,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It succeeded.
+    /// The request succeeded.
     Done,
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// Indeterminate: it may have run.
+    /// Indeterminate: the request may have run.
     Unknown,
 }
 
@@ -51,11 +51,11 @@
     pub path: String,
     /// Host that was tried last.
     pub host: SocketAddr,
-    /// Wall-clock time in microseconds at which the request was due to start.
+    /// Time at which the request was due to start, in microseconds since 1970.
     pub intended: u64,
-    /// Wall-clock time of its end in microseconds.
+    /// Time at which the request ended, in microseconds since 1970.
     pub ended: u64,
-    /// Outcome.
+    /// Outcome of the request as the caller knows it.
     pub outcome: Outcome,
     /// HTTP status; 0 if there was no response.
     pub status: u16,
@@ -197,7 +197,7 @@
     };
 }
 
-/// Returns whether a status guarantees that the request did not run, if no server stamped the response.
+/// Returns `true` if a status guarantees that the request did not run, if no server stamped the response.
 const fn means_not_run(status: StatusCode) -> bool {
     matches!(
         status.as_u16(),
--- a/crates/chicoryrail-testkit/src/store.rs
+++ b/crates/chicoryrail-testkit/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's key-value store, served over HTTP.
+//! A stand-in for the platform's key-value store, served over HTTP.
 
 mod control;
 mod fault;
--- a/crates/chicoryrail-testkit/src/store/fault.rs
+++ b/crates/chicoryrail-testkit/src/store/fault.rs
@@ -25,7 +25,7 @@
         /// Whether status 503 is returned instead of closing the connection.
         #[serde(default)]
         polite: bool,
-        /// Addresses of the callers affected; all callers if empty.
+        /// Addresses of the hosts affected; all hosts if empty.
         #[serde(default)]
         hosts: Vec<IpAddr>,
     },
@@ -64,7 +64,8 @@
 pub(crate) struct CallFaults {
     /// Delay before the call is executed.
     pub(crate) delay: Millis,
-    /// If set, the call is not executed; `true` returns status 503, `false` closes the connection.
+    /// How the call is rejected without being executed: `Some(true)` returns status 503, `Some(false)` closes the
+    /// connection. `None` executes it.
     pub(crate) down: Option<bool>,
     /// The call is executed and its response is lost.
     pub(crate) lost: bool,
@@ -76,8 +77,8 @@
 #[derive(Debug)]
 pub(crate) struct StoreFaults {
     timed: TimedFaults<StoreFault>,
-    /// Number of [`StoreFault::Silent`] faults so far. A call during which it
-    /// grows gets no response.
+    /// Number of [`StoreFault::Silent`] faults so far. A call compares it before and after its execution: if it has
+    /// changed, a fault began meanwhile and the call gets no response.
     pub(crate) silence_count: u64,
     rng: Pcg64Mcg,
 }
@@ -108,23 +109,23 @@
         self.timed.clear();
     }
 
-    /// Samples the faults of the next call.
-    pub(crate) fn sample(&mut self, now: Millis, caller: Option<IpAddr>) -> CallFaults {
+    /// Determines the faults that apply to a new call, at random where a fault affects only a fraction of the calls.
+    pub(crate) fn sample(&mut self, now: Millis, peer: Option<IpAddr>) -> CallFaults {
         let mut faults = CallFaults::default();
         for (_, fault) in self.timed.active(now) {
-            let mut is_affected = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
+            let mut draw_affected = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
             match fault {
                 StoreFault::Down {
                     share,
                     polite,
                     hosts,
                     ..
-                } if applies_to(hosts, caller) && is_affected(share) => faults.down = Some(*polite),
+                } if applies_to(hosts, peer) && draw_affected(share) => faults.down = Some(*polite),
                 StoreFault::Silent { .. } => faults.silent = true,
                 StoreFault::Slow {
                     share, delay_ms, ..
-                } if is_affected(share) => faults.delay = faults.delay + Millis(*delay_ms),
-                StoreFault::LoseAnswers { share, .. } if is_affected(share) => faults.lost = true,
+                } if draw_affected(share) => faults.delay = faults.delay + Millis(*delay_ms),
+                StoreFault::LoseAnswers { share, .. } if draw_affected(share) => faults.lost = true,
                 _ => {}
             }
         }
@@ -132,7 +133,7 @@
     }
 }
 
-/// Returns `true` if a fault limited to `hosts` applies to the caller; an empty list applies to every caller.
-fn applies_to(hosts: &[IpAddr], caller: Option<IpAddr>) -> bool {
-    hosts.is_empty() || caller.is_some_and(|c| hosts.contains(&c))
+/// Returns `true` if a fault limited to `hosts` applies to a call from `peer`; an empty list applies to every call.
+fn applies_to(hosts: &[IpAddr], peer: Option<IpAddr>) -> bool {
+    hosts.is_empty() || peer.is_some_and(|p| hosts.contains(&p))
 }
--- a/crates/chicoryrail-testkit/src/store/kv.rs
+++ b/crates/chicoryrail-testkit/src/store/kv.rs
@@ -197,7 +197,7 @@
         Some(lease.ttl)
     }
 
-    /// Ends a lease and deletes its keys; returns whether the lease was open.
+    /// Ends a lease and deletes its keys; returns `true` if the lease was open.
     pub fn end_lease(&mut self, id: u64) -> bool {
         if self.leases.remove(&id).is_none() {
             return false;
@@ -211,7 +211,7 @@
         true
     }
 
-    /// Ends the expired leases; returns whether a key was deleted.
+    /// Ends the expired leases; returns `true` if a key was deleted.
     pub fn expire(&mut self, now: Millis) -> bool {
         let before = self.revision;
         let expired = self.leases.iter().filter(|(_, l)| l.expires_at <= now);
--- a/crates/chicoryrail-testkit/src/store/server.rs
+++ b/crates/chicoryrail-testkit/src/store/server.rs
@@ -44,7 +44,7 @@
 /// Time after a stall during which a new watch hangs until the next change.
 const HANG_WINDOW: Millis = Millis(200);
 
-/// The stand-in of the platform's key-value store; clones share its state.
+/// The stand-in for the platform's key-value store; clones share its state.
 #[derive(Clone, Debug)]
 pub struct StoreServer {
     pub(crate) clock: Clock,
@@ -97,12 +97,12 @@
         if path.starts_with("/testkit/") {
             return Ok(self.control(&head.method, &head.uri, &body));
         }
-        let caller = head.extensions.get::<SocketAddr>().map(SocketAddr::ip);
+        let peer = head.extensions.get::<SocketAddr>().map(SocketAddr::ip);
         let call_faults = self
             .state
             .borrow_mut()
             .faults
-            .sample(self.clock.now(), caller);
+            .sample(self.clock.now(), peer);
         if call_faults != Default::default() {
             self.state.borrow_mut().stats.faulty += 1;
             self.clock.sleep(call_faults.delay).await;
@@ -221,8 +221,8 @@
         self.state.borrow_mut().stats.watches += 1;
         let _guard = WatchGuard::new(&self.state);
         if self.is_in_hang_window() {
-            let changed = self.state.borrow().changed.clone();
-            let _ = timeout(wait.to_duration(), changed.cancelled()).await;
+            let change_token = self.state.borrow().change_token.clone();
+            let _ = timeout(wait.to_duration(), change_token.cancelled()).await;
         }
         loop {
             if let Some(left) = self.stall_left() {
@@ -230,7 +230,7 @@
                 self.state.borrow_mut().kv.compact();
                 return error_response(503, "the history was forgotten");
             }
-            let changed = {
+            let change_token = {
                 let state = self.state.borrow();
                 let Some(events) = state.kv.changes_since(&prefix, after) else {
                     return json_response(410, &"that history is forgotten");
@@ -243,10 +243,10 @@
                     };
                     return json_response(200, &response);
                 }
-                state.changed.clone()
+                state.change_token.clone()
             };
             let left = deadline.since(self.clock.now()) + Millis(1);
-            let _ = timeout(left.to_duration(), changed.cancelled()).await;
+            let _ = timeout(left.to_duration(), change_token.cancelled()).await;
         }
     }
 
--- a/crates/chicoryrail-testkit/src/store/state.rs
+++ b/crates/chicoryrail-testkit/src/store/state.rs
@@ -12,35 +12,36 @@
 /// Options of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreOptions {
-    /// Writes accepted a second; the others get status 429. `None` sets no limit.
+    /// Maximum number of writes per second, including calls that open or end a lease; further ones get status 429.
+    /// `None` sets no limit.
     pub writes_per_s: Option<u32>,
-    /// Reads accepted a second, each watch and lease renewal counted as one; the others get status 429. `None` sets no
-    /// limit.
+    /// Maximum number of reads per second, including watches and lease renewals; further ones get status 429. `None`
+    /// sets no limit.
     pub reads_per_s: Option<u32>,
-    /// Seed of the random choice of the calls that a fault affects.
+    /// Seed for choosing the calls that a fault affects.
     pub seed: u64,
 }
 
-/// Numbers of calls by kind; a watch counts once, however long it waits.
+/// Statistics of the store's calls. A watch counts once, however long it waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStats {
     /// Reads of one key.
     pub gets: u64,
-    /// Committed transactions.
+    /// Transactions that were committed.
     pub swaps: u64,
-    /// Rejected transactions.
+    /// Transactions that were rejected: a precondition failed, a value is invalid or a lease does not exist.
     pub conflicts: u64,
     /// Pages listed.
     pub lists: u64,
     /// Watches.
     pub watches: u64,
-    /// Watches that wait at present.
+    /// Watches currently waiting for changes.
     pub waiting: u64,
-    /// Calls that opened, renewed or ended a lease.
+    /// Calls to open, renew or end a lease, including those for a lease that does not exist.
     pub leases: u64,
     /// Calls refused by the rate limits.
     pub limited: u64,
-    /// Calls affected by a fault.
+    /// Calls that arrived during a fault that affects them.
     pub faulty: u64,
     /// Bytes of values written, in base64.
     pub written: u64,
@@ -54,9 +55,9 @@
     pub(crate) write_limiter: RateLimiter,
     pub(crate) read_limiter: RateLimiter,
     /// Watches wait for this token; each change cancels and replaces it.
-    pub(crate) changed: CancellationToken,
-    /// End of the stall during which watches return no changes. After it the history is compacted and the stalled
-    /// watches get status 503.
+    pub(crate) change_token: CancellationToken,
+    /// End of the stall requested by `PUT /testkit/deafen`. Until then watches return no changes; at its end the change
+    /// events are compacted and the stalled watches get status 503.
     pub(crate) stalled_until: Millis,
 }
 
@@ -68,13 +69,13 @@
             faults: StoreFaults::new(options.seed),
             write_limiter: RateLimiter::new(options.writes_per_s),
             read_limiter: RateLimiter::new(options.reads_per_s),
-            changed: CancellationToken::new(),
+            change_token: CancellationToken::new(),
             stalled_until: Millis::ZERO,
         }
     }
 
     /// Wakes every waiting watch.
     pub(crate) fn wake_watches(&mut self) {
-        std::mem::take(&mut self.changed).cancel();
+        std::mem::take(&mut self.change_token).cancel();
     }
 }
--- a/crates/chicoryrail-testkit/src/target.rs
+++ b/crates/chicoryrail-testkit/src/target.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a target (server), served over HTTP.
+//! A stand-in for a target (server), served over HTTP.
 
 mod fault;
 mod leased_keys;
--- a/crates/chicoryrail-testkit/src/target/fault.rs
+++ b/crates/chicoryrail-testkit/src/target/fault.rs
@@ -185,7 +185,7 @@
         dropped.map(|(ends_at, _)| *ends_at)
     }
 
-    /// Samples whether the next request is refused.
+    /// Determines at random whether a new request is refused.
     pub(crate) fn sample_refusal(&mut self, now: Millis) -> bool {
         let share = self.timed.active(now).find_map(|(_, f)| match f {
             TargetFault::Refuse { share, .. } => Some(share.clamp(0.0, 1.0)),
@@ -194,22 +194,24 @@
         share.is_some_and(|s| self.rng.random_bool(s))
     }
 
-    /// Samples the faults of the next response.
+    /// Determines the faults that apply to a response, at random where a fault affects only a fraction of them.
     pub(crate) fn sample(&mut self, now: Millis) -> ResponseFaults {
         let mut faults = ResponseFaults::default();
         for (ends_at, fault) in self.timed.active(now) {
-            let mut is_affected = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
+            let mut draw_affected = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
             match fault {
                 TargetFault::Freeze { .. } => faults.delay = faults.delay.max(ends_at.since(now)),
                 TargetFault::Late {
                     share, delay_ms, ..
-                } if is_affected(share) => faults.delay = faults.delay.max(Millis(*delay_ms)),
-                TargetFault::Cut { share, after, .. } if is_affected(share) => {
+                } if draw_affected(share) => faults.delay = faults.delay.max(Millis(*delay_ms)),
+                TargetFault::Cut { share, after, .. } if draw_affected(share) => {
                     faults.cut_after = Some(*after);
                 }
-                TargetFault::LoseAnswers { share, .. } if is_affected(share) => faults.lost = true,
-                TargetFault::Crossed { share, .. } if is_affected(share) => faults.crossed = true,
-                TargetFault::Fail { share, .. } if is_affected(share) => faults.failed = true,
+                TargetFault::LoseAnswers { share, .. } if draw_affected(share) => {
+                    faults.lost = true
+                }
+                TargetFault::Crossed { share, .. } if draw_affected(share) => faults.crossed = true,
+                TargetFault::Fail { share, .. } if draw_affected(share) => faults.failed = true,
                 TargetFault::Unmarked { .. } => faults.unmarked = true,
                 _ => {}
             }
--- a/crates/chicoryrail-testkit/src/target/limit_check.rs
+++ b/crates/chicoryrail-testkit/src/target/limit_check.rs
@@ -13,7 +13,7 @@
 /// Multiple of the advertised rate that may arrive in a window.
 const RATE_FACTOR: f64 = 1.5;
 
-/// Number of requests that may arrive in a window beyond that.
+/// Number of requests that may arrive in a window in addition to that multiple.
 const SLACK_REQUESTS: f64 = 5.0;
 
 /// Arrivals at a server while it advertises a rate limit.
--- a/crates/chicoryrail-testkit/src/target/options.rs
+++ b/crates/chicoryrail-testkit/src/target/options.rs
@@ -37,7 +37,7 @@
     pub advertised_addr: Option<SocketAddr>,
     /// File to which each run and overrun is appended; `None` for no file.
     pub ledger: Option<PathBuf>,
-    /// Seed of the random choice of the requests that a fault affects.
+    /// Seed for choosing the requests that a fault affects.
     pub seed: u64,
 }
 
--- a/crates/chicoryrail-testkit/src/target/response.rs
+++ b/crates/chicoryrail-testkit/src/target/response.rs
@@ -1,4 +1,5 @@
-//! Response bodies that name their request, so that a caller can check that a response is complete and its own.
+//! Response bodies that name their request, so that a caller can check that a response is complete and belongs
+//! to its request.
 
 use std::io;
 use std::pin::Pin;
@@ -17,10 +18,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Size of one frame of a long body in bytes.
-const CHUNK_BYTES: u64 = 16 << 10;
+/// Maximum size of a body frame in bytes.
+const FRAME_BYTES: u64 = 16 << 10;
 
-/// Delay before a body fails, in which the bytes before the cut are written.
+/// Delay before a body fails. Without it the HTTP layer would drop the bytes before the cut that it has not yet
+/// written.
 const FLUSH_DELAY: Millis = Millis(20);
 
 /// The first line of a response's body, in JSON.
@@ -37,8 +39,8 @@
 }
 
 impl ResponseHead {
-    /// Parses the first line of a body and verifies that the filler after it is complete and belongs to this request;
-    /// `None` if it is not.
+    /// Parses the first line of a body and verifies the filler after it. Returns `None` if the line is invalid, or if
+    /// the filler is incomplete or does not match the request that the line names.
     #[must_use]
     pub fn check(body: &[u8]) -> Option<Self> {
         let end = body.iter().position(|b| *b == b'\n')?;
@@ -46,7 +48,7 @@
         let filler = &body[end + 1..];
         let mut offset = head.filler_offset();
         let is_complete = filler.len() as u64 == head.length
-            && filler.chunks(CHUNK_BYTES as usize).all(|chunk| {
+            && filler.chunks(FRAME_BYTES as usize).all(|chunk| {
                 let is_expected = *chunk == filler_at(offset, chunk.len() as u64);
                 offset += chunk.len() as u64;
                 is_expected
@@ -61,10 +63,10 @@
     }
 }
 
-/// Returns `count` letters, at most [`CHUNK_BYTES`], of the endlessly repeated alphabet from position `offset`.
+/// Returns `count` letters, at most [`FRAME_BYTES`], of the endlessly repeated alphabet from position `offset`.
 fn filler_at(offset: u64, count: u64) -> Bytes {
     static ALPHABET: LazyLock<Bytes> = LazyLock::new(|| {
-        (0..CHUNK_BYTES + 26)
+        (0..FRAME_BYTES + 26)
             .map(|i| b'a' + (i % 26) as u8)
             .collect()
     });
@@ -72,55 +74,56 @@
     ALPHABET.slice(first..first + count as usize)
 }
 
-/// A response body of a first line and filler, generated chunk by chunk.
-pub(crate) struct Filler {
+/// A response body: a first line and filler, generated frame by frame.
+pub(crate) struct ResponseBody {
     head: Option<Bytes>,
     /// Position in the alphabet of the first filler byte.
     offset: u64,
     /// Number of filler bytes generated so far.
-    sent: u64,
+    generated: u64,
     length: u64,
+    /// Whether the length is withheld, so that the HTTP layer uses the chunked transfer encoding.
     chunked: bool,
     /// Number of bytes left before the body fails; `None` if it does not fail.
-    cut_after: Option<u64>,
-    /// Delay before the failure. When a body fails, the HTTP layer drops the bytes that it has not yet written.
+    bytes_until_cut: Option<u64>,
+    /// The [`FLUSH_DELAY`] in progress.
     flush_delay: Option<Pin<Box<Sleep>>>,
 }
 
-impl Filler {
-    pub(crate) fn new(head: &ResponseHead, chunked: bool, cut_after: Option<u64>) -> Self {
+impl ResponseBody {
+    pub(crate) fn new(head: &ResponseHead, chunked: bool, bytes_until_cut: Option<u64>) -> Self {
         let mut line = serde_json::to_vec(head).unwrap_or_default();
         line.push(b'\n');
         Self {
             head: Some(line.into()),
             offset: head.filler_offset(),
-            sent: 0,
+            generated: 0,
             length: head.length,
             chunked,
-            cut_after,
+            bytes_until_cut,
             flush_delay: None,
         }
     }
 
     fn remaining(&self) -> u64 {
-        self.head.as_ref().map_or(0, |h| h.len() as u64) + self.length - self.sent
+        self.head.as_ref().map_or(0, |h| h.len() as u64) + self.length - self.generated
     }
 
-    fn next_chunk(&mut self) -> Option<Bytes> {
+    fn next_frame(&mut self) -> Option<Bytes> {
         if let Some(head) = self.head.take() {
             return Some(head);
         }
-        let size = (self.length - self.sent).min(CHUNK_BYTES);
+        let size = (self.length - self.generated).min(FRAME_BYTES);
         if size == 0 {
             return None;
         }
-        let chunk = filler_at(self.offset + self.sent, size);
-        self.sent += size;
+        let chunk = filler_at(self.offset + self.generated, size);
+        self.generated += size;
         Some(chunk)
     }
 }
 
-impl Body for Filler {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -128,17 +131,17 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if self.cut_after == Some(0) {
+        if self.bytes_until_cut == Some(0) {
             let flush_delay = self
                 .flush_delay
                 .get_or_insert_with(|| Box::pin(sleep(FLUSH_DELAY.to_duration())));
             ready!(flush_delay.as_mut().poll(context));
             return Poll::Ready(Some(Err(io::Error::other("fault: cut"))));
         }
-        let Some(mut chunk) = self.next_chunk() else {
+        let Some(mut chunk) = self.next_frame() else {
             return Poll::Ready(None);
         };
-        if let Some(left) = &mut self.cut_after {
+        if let Some(left) = &mut self.bytes_until_cut {
             chunk.truncate(*left as usize);
             *left -= chunk.len() as u64;
         }
@@ -146,7 +149,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.remaining() == 0 && self.cut_after.is_none()
+        self.remaining() == 0 && self.bytes_until_cut.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/crates/chicoryrail-testkit/src/target/server.rs
+++ b/crates/chicoryrail-testkit/src/target/server.rs
@@ -34,7 +34,7 @@
 /// Largest accepted body of a control call in bytes.
 const CALL_BODY_MAX_BYTES: usize = 1 << 20;
 
-/// The stand-in of a target; clones share its state.
+/// The stand-in for a target; clones share its state.
 ///
 /// | call | effect |
 /// |---|---|
--- a/crates/chicoryrail-testkit/src/target/work.rs
+++ b/crates/chicoryrail-testkit/src/target/work.rs
@@ -22,7 +22,7 @@
 use crate::Permit;
 use crate::Run;
 use crate::query_param;
-use crate::target::response::Filler;
+use crate::target::response::ResponseBody;
 use crate::target::response::ResponseHead;
 use crate::target::slots::NoSlot;
 use crate::target::state::State;
@@ -108,7 +108,7 @@
     };
     let last = state.last_response.replace(Some(own_head.clone()));
     let sent_head = last.filter(|_| faults.crossed).unwrap_or(own_head);
-    let body = Filler::new(&sent_head, work.chunked, faults.cut_after);
+    let body = ResponseBody::new(&sent_head, work.chunked, faults.cut_after);
     let mut response: Response<Body> = Response::new(Box::pin(body));
     if faults.failed {
         *response.status_mut() = http::StatusCode::INTERNAL_SERVER_ERROR;
--- a/crates/chicoryrail-testkit/tests/store.rs
+++ b/crates/chicoryrail-testkit/tests/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the store, through its HTTP interface.
+//! The stand-in for the store, through its HTTP interface.
 
 use std::net::SocketAddr;
 
--- a/crates/chicoryrail-testkit/tests/target.rs
+++ b/crates/chicoryrail-testkit/tests/target.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a target, through its HTTP interface.
+//! The stand-in for a target, through its HTTP interface.
 
 use std::net::SocketAddr;
 
