--- a/crates/chicoryrail-testkit/src/chaos/options.rs
+++ b/crates/chicoryrail-testkit/src/chaos/options.rs
@@ -13,7 +13,7 @@
 pub struct ChaosOptions {
     /// Seed of the faults, the load and the stand-ins.
     pub seed: u64,
-    /// Duration of the load; no fault starts in the last seconds of it.
+    /// Duration of the load; no fault starts in its last 4 s, so that the cluster can recover.
     pub duration: Millis,
     /// Deployment whose data centres, services and targets the cluster has.
     pub deployment: Deployment,
--- a/crates/chicoryrail-testkit/src/cluster/deployment.rs
+++ b/crates/chicoryrail-testkit/src/cluster/deployment.rs
@@ -27,8 +27,10 @@
 /// `WARMUP_RATE` (`cold_over` in the boot file) plus 5 (`cold_slack`), rounded down.
 const WARMUP_LIMIT: u32 = 12;
 
-/// Timeout of a request, and its latency target.
+/// Timeout of a request.
 const REQUEST_TIMEOUT: Millis = Millis(1_000);
+
+/// Latency target of a request.
 const LATENCY_TARGET: Millis = Millis(300);
 
 /// A deployment of the specification.
--- a/crates/chicoryrail-testkit/src/cluster/operator.rs
+++ b/crates/chicoryrail-testkit/src/cluster/operator.rs
@@ -44,7 +44,8 @@
         self.run(&["config", "put", &path]).map(|_| ())
     }
 
-    /// Takes a data centre out of service, with `--force`: also if less than half of the slots of a service remain.
+    /// Takes a data centre out of service, with `--force`: also if no server is registered in it, or if a service keeps
+    /// less than half of its slots.
     ///
     /// # Errors
     ///
--- a/crates/chicoryrail-testkit/src/cluster/organisations.rs
+++ b/crates/chicoryrail-testkit/src/cluster/organisations.rs
@@ -10,9 +10,13 @@
 use crate::LoadCaller;
 use crate::QuotaWindow;
 
-/// Names of the organisations: one without a rate limit, one with.
+/// Name of the organisation without a rate limit.
 const UNLIMITED_ORGANISATION: &str = "schools";
+
+/// Name of the organisation with a rate limit.
 const LIMITED_ORGANISATION: &str = "clubs";
+
+/// Rate limit of [`LIMITED_ORGANISATION`].
 const LIMITED_QUOTA: QuotaLimit = QuotaLimit {
     rate: 40.0,
     burst: 20.0,
--- a/crates/chicoryrail-testkit/src/load/balancer.rs
+++ b/crates/chicoryrail-testkit/src/load/balancer.rs
@@ -29,7 +29,7 @@
 
 #[derive(Debug)]
 struct CheckedHost {
-    callers: SocketAddr,
+    addr: SocketAddr,
     healthy: Cell<bool>,
 }
 
@@ -37,7 +37,7 @@
     /// Starts the health checks; they end with the runtime.
     pub(crate) fn start(hosts: &[LoadHost]) -> Self {
         let checked = hosts.iter().map(|h| CheckedHost {
-            callers: h.addr,
+            addr: h.addr,
             healthy: Cell::new(true),
         });
         let this = Self {
@@ -59,7 +59,7 @@
         let rotated = || (0..n).map(move |i| &self.hosts[(start + i) % n]);
         let healthy = rotated().filter(|h| h.healthy.get());
         let unhealthy = rotated().filter(|h| !h.healthy.get());
-        healthy.chain(unhealthy).map(|h| h.callers).collect()
+        healthy.chain(unhealthy).map(|h| h.addr).collect()
     }
 
     async fn check(self, i: usize, addr: SocketAddr) {
--- a/crates/chicoryrail-testkit/src/load/mix.rs
+++ b/crates/chicoryrail-testkit/src/load/mix.rs
@@ -98,6 +98,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PlannedRequest {
     pub(crate) kind: LoadKind,
+    /// Value of the `Host` header.
     pub(crate) host: String,
     pub(crate) path: String,
     pub(crate) key: Option<u16>,
@@ -105,6 +106,7 @@
     /// Bytes of the response body after its first line.
     pub(crate) response_bytes: u64,
     pub(crate) body: String,
+    /// API key that the request carries; `None` if it needs none.
     pub(crate) caller: Option<LoadCaller>,
 }
 
--- a/crates/chicoryrail-testkit/src/load/run.rs
+++ b/crates/chicoryrail-testkit/src/load/run.rs
@@ -94,6 +94,7 @@
     rng: RefCell<Pcg64Mcg>,
     records: RefCell<Vec<CallRecord>>,
     in_flight: Cell<u32>,
+    /// End of the run in microseconds since 1970.
     end_us: u64,
 }
 
--- a/crates/chicoryrail-testkit/src/proxy/net.rs
+++ b/crates/chicoryrail-testkit/src/proxy/net.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Adds a link to `upstream` on a free port of the loopback address.
+    /// Adds a link to `upstream` on an address that [`free_addr`] returns.
     ///
     /// # Errors
     ///
@@ -73,7 +73,7 @@
         Ok(link)
     }
 
-    /// Adds a link to `upstream` on a loopback port that the system chooses.
+    /// Adds a link to `upstream` on a port of 127.0.0.1 that the system chooses.
     ///
     /// # Errors
     ///
--- a/crates/chicoryrail-testkit/src/store/fault.rs
+++ b/crates/chicoryrail-testkit/src/store/fault.rs
@@ -113,19 +113,19 @@
     pub(crate) fn sample(&mut self, now: Millis, peer: Option<IpAddr>) -> CallFaults {
         let mut faults = CallFaults::default();
         for (_, fault) in self.timed.active(now) {
-            let mut draw_affected = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
+            let mut sample_hit = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
             match fault {
                 StoreFault::Down {
                     share,
                     polite,
                     hosts,
                     ..
-                } if applies_to(hosts, peer) && draw_affected(share) => faults.down = Some(*polite),
+                } if applies_to(hosts, peer) && sample_hit(share) => faults.down = Some(*polite),
                 StoreFault::Silent { .. } => faults.silent = true,
                 StoreFault::Slow {
                     share, delay_ms, ..
-                } if draw_affected(share) => faults.delay = faults.delay + Millis(*delay_ms),
-                StoreFault::LoseAnswers { share, .. } if draw_affected(share) => faults.lost = true,
+                } if sample_hit(share) => faults.delay = faults.delay + Millis(*delay_ms),
+                StoreFault::LoseAnswers { share, .. } if sample_hit(share) => faults.lost = true,
                 _ => {}
             }
         }
--- a/crates/chicoryrail-testkit/src/store/kv.rs
+++ b/crates/chicoryrail-testkit/src/store/kv.rs
@@ -52,7 +52,9 @@
     /// Encoded in base64.
     value: String,
     revision: u64,
+    /// Revision at which the key was created.
     created: u64,
+    /// Id of the lease with which the key expires; 0 for none.
     lease: u64,
 }
 
--- a/crates/chicoryrail-testkit/src/target/fault.rs
+++ b/crates/chicoryrail-testkit/src/target/fault.rs
@@ -198,20 +198,18 @@
     pub(crate) fn sample(&mut self, now: Millis) -> ResponseFaults {
         let mut faults = ResponseFaults::default();
         for (ends_at, fault) in self.timed.active(now) {
-            let mut draw_affected = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
+            let mut sample_hit = |share: &f64| self.rng.random_bool(share.clamp(0.0, 1.0));
             match fault {
                 TargetFault::Freeze { .. } => faults.delay = faults.delay.max(ends_at.since(now)),
                 TargetFault::Late {
                     share, delay_ms, ..
-                } if draw_affected(share) => faults.delay = faults.delay.max(Millis(*delay_ms)),
-                TargetFault::Cut { share, after, .. } if draw_affected(share) => {
+                } if sample_hit(share) => faults.delay = faults.delay.max(Millis(*delay_ms)),
+                TargetFault::Cut { share, after, .. } if sample_hit(share) => {
                     faults.cut_after = Some(*after);
                 }
-                TargetFault::LoseAnswers { share, .. } if draw_affected(share) => {
-                    faults.lost = true
-                }
-                TargetFault::Crossed { share, .. } if draw_affected(share) => faults.crossed = true,
-                TargetFault::Fail { share, .. } if draw_affected(share) => faults.failed = true,
+                TargetFault::LoseAnswers { share, .. } if sample_hit(share) => faults.lost = true,
+                TargetFault::Crossed { share, .. } if sample_hit(share) => faults.crossed = true,
+                TargetFault::Fail { share, .. } if sample_hit(share) => faults.failed = true,
                 TargetFault::Unmarked { .. } => faults.unmarked = true,
                 _ => {}
             }
--- a/crates/chicoryrail-testkit/src/target/leased_keys.rs
+++ b/crates/chicoryrail-testkit/src/target/leased_keys.rs
@@ -15,7 +15,7 @@
 struct KeyState {
     /// Highest fencing token seen.
     highest_fence: u64,
-    /// End of the lease.
+    /// End of the lease; 0 if the key was never leased or was released.
     expires_at: Millis,
     /// Id of the lease; a lease that is renewed before its end keeps its id.
     lease: u64,
--- a/crates/chicoryrail-testkit/src/target/slots.rs
+++ b/crates/chicoryrail-testkit/src/target/slots.rs
@@ -24,10 +24,11 @@
     queued: VecDeque<CancellationToken>,
 }
 
-/// The slots of a server and the queue for them; clones share both.
+/// The slots of a server and their queue; clones share both.
 #[derive(Clone, Debug)]
 pub(crate) struct Slots {
     slots: u32,
+    /// Maximum number of queued requests.
     queue: u32,
     inner: Rc<RefCell<Inner>>,
 }
--- a/crates/chicoryrail-testkit/src/target/state.rs
+++ b/crates/chicoryrail-testkit/src/target/state.rs
@@ -30,6 +30,7 @@
     pub(crate) leased_keys: RefCell<LeasedKeys>,
     pub(crate) recorder: RefCell<Recorder>,
     pub(crate) faults: RefCell<TargetFaults>,
+    /// First line of the last response, which [`crate::TargetFault::Crossed`] sends to another request.
     pub(crate) last_response: RefCell<Option<ResponseHead>>,
     pub(crate) refused_connections: Rc<Cell<u64>>,
     clock: Clock,
--- a/crates/chicoryrail-testkit/src/target/warmup.rs
+++ b/crates/chicoryrail-testkit/src/target/warmup.rs
@@ -1,4 +1,4 @@
-//! The warm-up of a server with empty caches: requests take longer, and only a few may arrive a second.
+//! The warm-up of a server with empty caches: requests take longer, and only a limited number may arrive per second.
 
 use std::collections::VecDeque;
 
