--- a/crates/chicoryrail-testkit/src/checker/orders.rs
+++ b/crates/chicoryrail-testkit/src/checker/orders.rs
@@ -36,7 +36,8 @@
                 request: record.request.clone(),
                 servers: servers(runs),
             }),
-            // An indeterminate outcome is compatible with any number of runs.
+            // An indeterminate outcome contradicts neither a run nor its absence, and only an order must have run to be
+            // reported done.
             _ => {}
         }
     }
--- a/crates/chicoryrail-testkit/src/checker/responses.rs
+++ b/crates/chicoryrail-testkit/src/checker/responses.rs
@@ -37,7 +37,7 @@
     record.host == pause.host && record.ended >= pause.from && record.intended <= pause.until
 }
 
-/// Returns `true` if a request's connection to the stopping host ended without a response.
+/// Returns `true` if a request to the stopping host ended without a response during the stop or just after.
 fn is_cut_by(record: &CallRecord, stop: &HostTime) -> bool {
     record.host == stop.host
         && record.outcome == Outcome::Unknown
--- a/crates/chicoryrail-testkit/src/target/response.rs
+++ b/crates/chicoryrail-testkit/src/target/response.rs
@@ -76,11 +76,13 @@
 
 /// A response body: a first line and filler, generated frame by frame.
 pub(crate) struct ResponseBody {
+    /// The first line; `None` once it was returned.
     head: Option<Bytes>,
     /// Position in the alphabet of the first filler byte.
     offset: u64,
     /// Number of filler bytes generated so far.
     generated: u64,
+    /// Total number of filler bytes.
     length: u64,
     /// Whether the length is withheld, so that the HTTP layer uses the chunked transfer encoding.
     chunked: bool,
--- a/crates/chicoryrail-testkit/src/target/work.rs
+++ b/crates/chicoryrail-testkit/src/target/work.rs
@@ -28,10 +28,10 @@
 use crate::target::state::State;
 use crate::unix_micros;
 
-/// Largest accepted request body in bytes.
+/// Maximum size of an accepted request body in bytes.
 const BODY_MAX_BYTES: usize = 64 << 20;
 
-/// Time left of a request without a deadline header.
+/// Time until the deadline of a request without a deadline header.
 const DEFAULT_TIME_LEFT: Millis = Millis(60_000);
 
 /// The parameters of a request, parsed from its head.
