--- a/crates/chicoryrail-testkit/src/chaos/fault.rs
+++ b/crates/chicoryrail-testkit/src/chaos/fault.rs
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Returns `true` if the fault is a planned action of an operator or a server, which must leave no request without a
-    /// response.
+    /// Returns `true` if the fault is a planned action of an operator or a server, which must leave no request without
+    /// a response.
     pub(crate) const fn is_planned(&self) -> bool {
         matches!(
             self,
--- a/crates/chicoryrail-testkit/src/chaos/inject.rs
+++ b/crates/chicoryrail-testkit/src/chaos/inject.rs
@@ -30,11 +30,11 @@
 /// Delay, after a data centre is taken out of service, from which on its servers must receive no new requests, in
 /// microseconds: `evacuate_ms` of the boot file (3 s), plus half a second for the operator's program and for requests
 /// in flight.
-const DRAIN_BOUND_US: u64 = 3_500_000;
+const DRAIN_DELAY_US: u64 = 3_500_000;
 
 /// Delay, after a server announces that it is draining, from which on it must receive no new requests, in microseconds:
 /// `drain_timeout_ms` of the boot file (2 s), plus half a second for requests in flight.
-const LEAVE_BOUND_US: u64 = 2_500_000;
+const LEAVE_DELAY_US: u64 = 2_500_000;
 
 /// Time for which a draining server keeps serving before it is killed, in milliseconds.
 const LEAVE_DURATION_MS: u64 = 4_000;
@@ -256,7 +256,7 @@
     };
     let operator = &context.operator;
     let drained = operator.drain(&name);
-    let from = unix_micros() + DRAIN_BOUND_US;
+    let from = unix_micros() + DRAIN_DELAY_US;
     context.sleep(for_ms);
     let until = unix_micros();
     if drained.is_ok() {
@@ -282,7 +282,7 @@
     let plan = context.cluster().targets()[target].clone();
     let announced = context.cluster().put_fault(plan.addr, &TargetFault::Leave);
     announced.map_err(|e| e.to_string())?;
-    let from = unix_micros() + LEAVE_BOUND_US;
+    let from = unix_micros() + LEAVE_DELAY_US;
     context.sleep(LEAVE_DURATION_MS);
     let until = unix_micros();
     context.events().outs.push(OutPeriod {
--- a/crates/chicoryrail-testkit/src/chaos/run.rs
+++ b/crates/chicoryrail-testkit/src/chaos/run.rs
@@ -155,19 +155,19 @@
 }
 
 /// Time after the end of a fault for which its effects may last, in microseconds.
-const AFTER_FAULT_US: u64 = 1_000_000;
+const LINGERING_EFFECT_US: u64 = 1_000_000;
 
 /// Time before the start of a period out of service or before an overrun in which a fault can have delayed the
 /// announcement, in microseconds. It covers the longest delay allowed for an announcement, and the longest time for
 /// which a watch delivers no events after an outage.
-const BEFORE_BOUND_US: u64 = 5_000_000;
+const MAX_ANNOUNCEMENT_DELAY_US: u64 = 5_000_000;
 
 /// Removes evidence of guarantees that hold only without certain concurrent faults: that a planned stop leaves no
 /// request without a response, that announcements of servers and operators in the store take effect in time, and that
 /// advertised limits are kept.
 fn discard_disturbed(evidence: &mut Evidence, faults: &[FaultRecord]) {
     let overlaps = |f: &FaultRecord, from: u64, until: u64| {
-        f.from <= until && f.until + AFTER_FAULT_US >= from
+        f.from <= until && f.until + LINGERING_EFFECT_US >= from
     };
     let is_disturbed = |s: &HostTime| {
         let mut faults = faults.iter().filter(|f| !f.fault.is_planned());
@@ -176,7 +176,7 @@
     evidence.stops.retain(|s| !is_disturbed(s));
     let may_be_delayed = |from: u64, until: u64| {
         let mut faults = faults.iter().filter(|f| f.fault.delays_announcements());
-        faults.any(|f| overlaps(f, from.saturating_sub(BEFORE_BOUND_US), until))
+        faults.any(|f| overlaps(f, from.saturating_sub(MAX_ANNOUNCEMENT_DELAY_US), until))
     };
     evidence.outs.retain(|o| !may_be_delayed(o.from, o.until));
     evidence
@@ -184,7 +184,7 @@
         .retain(|o| !may_be_delayed(o.time, o.time));
     let host_interrupted = |from: u64, until: u64| {
         let mut faults = faults.iter().filter(|f| f.fault.interrupts_hosts());
-        faults.any(|f| overlaps(f, from.saturating_sub(BEFORE_BOUND_US), until))
+        faults.any(|f| overlaps(f, from.saturating_sub(MAX_ANNOUNCEMENT_DELAY_US), until))
     };
     evidence
         .limit_overruns
