--- a/crates/chicoryrail-testkit/src/target/work.rs
+++ b/crates/chicoryrail-testkit/src/target/work.rs
@@ -22,16 +22,16 @@
 use crate::Permit;
 use crate::Run;
 use crate::query_param;
-use crate::target::response::Filler;
+use crate::target::response::ResponseBody;
 use crate::target::response::ResponseHead;
 use crate::target::slots::NoSlot;
 use crate::target::state::State;
 use crate::unix_micros;
 
-/// Largest accepted request body in bytes.
+/// Maximum size of an accepted request body in bytes.
 const BODY_MAX_BYTES: usize = 64 << 20;
 
-/// Time left of a request without a deadline header.
+/// Time until the deadline of a request without a deadline header.
 const DEFAULT_TIME_LEFT: Millis = Millis(60_000);
 
 /// The parameters of a request, parsed from its head.
@@ -108,7 +108,7 @@
     };
     let last = state.last_response.replace(Some(own_head.clone()));
     let sent_head = last.filter(|_| faults.crossed).unwrap_or(own_head);
-    let body = Filler::new(&sent_head, work.chunked, faults.cut_after);
+    let body = ResponseBody::new(&sent_head, work.chunked, faults.cut_after);
     let mut response: Response<Body> = Response::new(Box::pin(body));
     if faults.failed {
         *response.status_mut() = http::StatusCode::INTERNAL_SERVER_ERROR;
